--- a/placement/burst_test.go
+++ b/placement/burst_test.go
@@ -8,21 +8,21 @@
 	"celeryport/loadshare"
 )
 
-// replay places short calls on engines whose loads are heard of late, millisecond by
-// millisecond, and counts those that met an engine that was busy with others.
+// replay simulates short calls, millisecond by millisecond, that are placed by outdated engine
+// loads, and counts those that reached a busy engine.
 type replay struct {
-	engines []loadshare.Load // as they are
-	heard   [][]loadshare.Load
-	ends    map[int][]func() // what happens at a millisecond
-	random  *rand.Rand
-	busy    int // calls that met three others without a first event, or no free slot
-	calls   int
+	engines  []loadshare.Load // current loads
+	reported [][]loadshare.Load
+	ends     map[int][]func() // completions by millisecond
+	random   *rand.Rand
+	busy     int // calls that found three prompts without a first event, or no free slot
+	calls    int
 }
 
 const (
-	hearingLag = 15  // milliseconds until the others know of a call
-	readFor    = 120 // until its first event
-	streamsFor = 2000
+	reportDelay   = 15  // milliseconds until the other instances learn of a call
+	prefillMillis = 120 // milliseconds until the first event of a call
+	streamMillis  = 2000
 )
 
 func newReplay(engines int) *replay {
@@ -31,8 +31,8 @@
 
 func (r *replay) place(now int) {
 	engines := testEngines(len(r.engines))
-	if len(r.heard) > hearingLag {
-		for i, load := range r.heard[len(r.heard)-hearingLag] {
+	if len(r.reported) > reportDelay {
+		for i, load := range r.reported[len(r.reported)-reportDelay] {
 			engines[i].Load = load
 		}
 	}
@@ -50,8 +50,8 @@
 	load.Streams++
 	load.Tight++
 	load.Leading++
-	r.ends[now+readFor] = append(r.ends[now+readFor], func() { load.Leading-- })
-	r.ends[now+streamsFor] = append(r.ends[now+streamsFor], func() { load.Streams--; load.Tight-- })
+	r.ends[now+prefillMillis] = append(r.ends[now+prefillMillis], func() { load.Leading-- })
+	r.ends[now+streamMillis] = append(r.ends[now+streamMillis], func() { load.Streams--; load.Tight-- })
 }
 
 func (r *replay) run(perSecond, milliseconds int) {
@@ -59,7 +59,7 @@
 		for _, end := range r.ends[now] {
 			end()
 		}
-		r.heard = append(r.heard, append([]loadshare.Load(nil), r.engines...))
+		r.reported = append(r.reported, append([]loadshare.Load(nil), r.engines...))
 		for float64(r.calls) < float64(now)*float64(perSecond)/1000 {
 			r.calls++
 			r.place(now)
@@ -67,20 +67,21 @@
 	}
 }
 
-func TestCallsOfTheSameMomentMeetDifferentEngines(t *testing.T) {
-	// Sixty-five instances place 300 short prompts a second, and each hears of the
-	// others' calls 15 ms late. Those of the same moment see the same engine with
-	// room: they all go there, wait for each other, and their first events are late.
+func TestSimultaneousCallsUseDifferentEngines(t *testing.T) {
+	// 65 instances place 300 short prompts a second, and each learns of the others' calls 15 ms
+	// late. Calls of the same moment see the same engine with room: if all went there, they
+	// would wait for each other and their first events would be late.
 	r := newReplay(78)
 	r.run(300, 5000)
 	if share := float64(r.busy) / float64(r.calls); share > 0.02 {
-		t.Errorf("%.3f of %d calls met an engine that was busy with others, want 0.02 at most", share, r.calls)
+		t.Errorf("%.3f of %d calls were placed on a busy engine, want at most 0.02", share, r.calls)
 	}
 }
 
 func TestABurstOfShortPromptsAfterLongOnesIsSpread(t *testing.T) {
-	// The mix turns from long to short prompts while most engines still read for half a
-	// second. The few that have room, or are soonest, look the same to all instances.
+	// The mix changes from long to short prompts while most engines still prefill for half a
+	// second. The few engines with room, or with the earliest first event, look the same to all
+	// instances.
 	r := newReplay(60)
 	for i := range r.engines {
 		if i >= 12 {
@@ -98,8 +99,9 @@
 }
 
 func TestTheFirstCallsOfABurstAreSpread(t *testing.T) {
-	// The fleet is calm, and forty short prompts come in the same moment. With hardly
-	// any stream to go by, all instances would gather them on the first few engines.
+	// Forty short prompts arrive at the same moment in an idle fleet. With hardly any running
+	// streams to derive the width of the packing from, all instances would pack them onto the
+	// first few engines.
 	r := newReplay(78)
 	for range 40 {
 		r.place(0)
@@ -109,6 +111,6 @@
 		most = max(most, r.engines[i].Leading)
 	}
 	if most > 6 {
-		t.Errorf("%d of 40 prompts wait for each other at one engine", most)
+		t.Errorf("%d of 40 prompts wait for their first event on one engine", most)
 	}
 }
--- a/placement/doc.go
+++ b/placement/doc.go
@@ -1,11 +1,14 @@
-// Package placement decides which engines read and answer a call. It is pure: it
-// is given what is known of the engines and returns a plan.
+// Package placement decides which engines prefill a prompt and which one decodes the answer. It
+// does no I/O and keeps no state: the caller passes in what it knows of the engines and gets a
+// plan.
 //
-// An engine works in passes: one token of every stream that it writes, a stride of
-// such steps a pass, and between the steps the prompts that it reads, piece by
-// piece. So a stream beside a long prompt gets its next event only after the
-// pieces of that pass, which take many times as long as the steps alone. Streams with short pauses therefore
-// gather on as few engines as serve them in time. Long prompts are read in even parts,
-// all at once, by the engines with the fewest such streams, and wait until there are
-// enough of them that no stream feels its part.
+// An engine works in passes. A pass is a stride of decode steps, each of which yields one token
+// for every running stream; between the steps the engine prefills queued prompts chunk by chunk.
+// A stream that shares an engine with a long prompt therefore gets its next event only after all
+// chunks of the pass, which take many times as long as the steps alone.
+//
+// Streams whose route allows only short pauses between events (tight streams) are therefore
+// packed onto as few engines as can serve them in time. Long prompts are split into equal parts
+// that are prefilled at the same time, on the engines with the fewest tight streams; a long
+// prompt waits until enough engines are free for its parts not to delay any stream.
 package placement
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -7,51 +7,51 @@
 	"celeryport/settings"
 )
 
-// Engine is what is known of one engine, or of one instance of a plain service.
+// Engine is the known state of one engine, or of one instance of a plain service.
 type Engine struct {
-	Load  loadshare.Load // of all instances together
-	Order uint64         // a fixed order that all instances agree on
+	Load  loadshare.Load // combined load of all instances
+	Order uint64         // sort key that is the same on all instances
 	Near  bool           // in the availability zone of this instance
-	Avoid bool           // failed of late, or was not heard of: only if there is no other
-	Tried bool           // had this call already
-	// HelpOnly says that the engine may read a part of the call but not lead it.
+	Avoid bool           // failed recently or has not reported: last resort
+	Tried bool           // has already received this call
+	// HelpOnly marks an engine that may prefill a part of the prompt but not lead the call.
 	HelpOnly bool
 }
 
-// Call is what has to be placed.
+// Call is a call to be placed.
 type Call struct {
-	Prompt    int           // tokens
-	Answer    int           // tokens at most
-	Objective time.Duration // until the first event
-	LongPause time.Duration // between two events
-	Left      time.Duration // until nobody waits any more
-	Waited    time.Duration // since its caller sent it first, as far as is known
-	Age       time.Duration // of this, before it came here
-	Ahead     time.Duration // of reading at each engine that comes first, but waits itself
-	Draw      [2]float64    // uniform in [0, 1); instances that know the same choose differently by it
+	Prompt    int           // prompt length in tokens
+	Answer    int           // maximum answer length in tokens
+	Objective time.Duration // maximum time to the first event
+	LongPause time.Duration // maximum pause between two events
+	Left      time.Duration // time until the caller gives up or times out
+	Waited    time.Duration // time since the caller first sent it, as far as known
+	Age       time.Duration // the part of Waited that passed before it reached this instance
+	Ahead     time.Duration // prefill time per engine of the waiting calls ordered before this one
+	Draw      [2]float64    // uniform in [0, 1); makes instances with the same view choose different engines
 }
 
-// Plan says where a call goes.
+// Plan is the placement of a call.
 type Plan struct {
-	Lead       int           // engine that answers
-	Helpers    []int         // engines that read a part of the prompt each
-	Part       time.Duration // reading at the lead engine and each helper
-	Apart      time.Duration // after its part, until one of these engines may read the next
-	Reserved   []Reserved    // memory that the prompt needs at helpers, in the order in which it is filled
-	FirstEvent time.Duration // predicted, from now
-	Excess     time.Duration // of a call that is refused: by how much its first event would be too late
-	Wait       time.Duration // not placed yet: until it should be planned again
-	Seen       Seen          // what decided
+	Lead       int           // index of the engine that decodes the answer
+	Helpers    []int         // indexes of the engines that prefill one part each
+	Part       time.Duration // prefill time of the part on the lead engine and on each helper
+	Apart      time.Duration // idle time after a part until the engine may start the next one
+	Reserved   []Reserved    // memory reserved on helpers, in the order in which it is filled
+	FirstEvent time.Duration // predicted time from now to the first event
+	Excess     time.Duration // for a rejected call: how much its first event would be too late
+	Wait       time.Duration // if not placed yet: time until the next attempt to plan it
+	Seen       Seen          // the engine loads behind the decision
 }
 
-// Seen sums up the engines that a plan was made from.
+// Seen summarises the engines that a plan was based on.
 type Seen struct {
-	Engines int           // that may be taken
-	Tight   int           // of these, with streams whose pauses must be short
-	Backlog time.Duration // mean of what an engine has to read
+	Engines int           // number of usable engines
+	Tight   int           // how many of them run tight streams
+	Backlog time.Duration // mean queued prefill time per engine
 }
 
-func seen(engines []Engine, usable []int) Seen {
+func summarise(engines []Engine, usable []int) Seen {
 	s := Seen{Engines: len(usable)}
 	for _, i := range usable {
 		s.Backlog += engines[i].Load.Reading / time.Duration(len(usable))
@@ -62,13 +62,13 @@
 	return s
 }
 
-// Reserved is memory for a part of a prompt at one helper.
+// Reserved is memory reserved on one helper for a part of a prompt.
 type Reserved struct {
 	Engine int
 	Tokens int
 }
 
-// Reading returns how long an idle engine reads a prompt.
+// Reading returns how long an idle engine takes to prefill a prompt.
 func Reading(p *settings.EngineProfile, tokens int) time.Duration {
 	if p.ReadRate <= 0 {
 		return 0
@@ -82,16 +82,16 @@
 	return time.Duration(linear + pairs + steps)
 }
 
-// passOf returns how long a pass takes without any reading.
-func passOf(p *settings.EngineProfile, writers int) time.Duration {
-	if writers == 0 {
+// passTime returns the duration of a pass without any prefill.
+func passTime(p *settings.EngineProfile, streams int) time.Duration {
+	if streams == 0 {
 		return p.Step
 	}
-	return time.Duration(max(1, p.Stride)) * (p.Step + time.Duration(writers)*p.StepPerWriter)
+	return time.Duration(max(1, p.Stride)) * (p.Step + time.Duration(streams)*p.StepPerWriter)
 }
 
-// slotWait returns how long a call waits for a slot behind those that are there:
-// at the end of every usual answer one becomes free.
+// slotWait returns how long a call waits for a slot. It assumes that the running streams release
+// all slots evenly over the duration of a typical answer.
 func slotWait(p *settings.EngineProfile, streams int) time.Duration {
 	waiting := streams - p.Slots + 1
 	if waiting <= 0 || p.Slots == 0 {
@@ -101,11 +101,10 @@
 	return time.Duration(waiting) * usual / time.Duration(p.Slots)
 }
 
-// firstEvent predicts the first event of a call with its reading on an engine:
-// what is read before it, its own reading, the pass under way and its own first
-// pass.
-func firstEvent(p *settings.EngineProfile, e *Engine, reading time.Duration) time.Duration {
-	pass := passOf(p, e.Load.Streams)
-	before := max(e.Load.Reading, time.Duration(e.Load.Leading)*usualShort(p))
-	return slotWait(p, e.Load.Streams) + min(before, passReading(p)) + reading + pass/2 + passOf(p, e.Load.Streams+1)
+// predictFirstEvent predicts the time to a call's first event on an engine: the prefill queued
+// before it, its own prefill, the rest of the current pass and its own first pass.
+func predictFirstEvent(p *settings.EngineProfile, e *Engine, prefill time.Duration) time.Duration {
+	pass := passTime(p, e.Load.Streams)
+	before := max(e.Load.Reading, time.Duration(e.Load.Leading)*typicalShortPrefill(p))
+	return slotWait(p, e.Load.Streams) + min(before, maxPassPrefill(p)) + prefill + pass/2 + passTime(p, e.Load.Streams+1)
 }
--- a/placement/lead.go
+++ b/placement/lead.go
@@ -7,19 +7,20 @@
 	"celeryport/settings"
 )
 
-// leadWithHelpers chooses the lead engine and the helpers of a prompt that k engines read.
-func leadWithHelpers(p *settings.EngineProfile, engines []Engine, readers []int, call *Call, part time.Duration, k int) (Plan, bool) {
-	if lead := leadAmong(p, engines, readers, call, part); lead >= 0 {
-		return Plan{Lead: lead, Helpers: firstOf(idleOf(engines, helpersOf(p, engines, readers, lead)), k-1), Part: part}, true
+// leadWithHelpers chooses the lead engine and the helpers for a prompt that is split over k
+// engines.
+func leadWithHelpers(p *settings.EngineProfile, engines []Engine, candidates []int, call *Call, part time.Duration, k int) (Plan, bool) {
+	if lead := bestLead(p, engines, candidates, call, part); lead >= 0 {
+		return Plan{Lead: lead, Helpers: firstN(withoutLooseStreams(engines, eligibleHelpers(p, engines, candidates, lead)), k-1), Part: part}, true
 	}
-	return leadWithMemory(p, engines, readers, call, part, k)
+	return leadWithMemory(p, engines, candidates, call, part, k)
 }
 
-// leadWithMemory has helpers keep a part of a prompt for which no engine has the
-// memory. The lead engine is the one with the most of it.
-func leadWithMemory(p *settings.EngineProfile, engines []Engine, readers []int, call *Call, part time.Duration, k int) (Plan, bool) {
+// leadWithMemory is used when no engine has enough memory for the whole prompt: the helpers keep
+// parts of it. The lead is the engine with the most free memory.
+func leadWithMemory(p *settings.EngineProfile, engines []Engine, candidates []int, call *Call, part time.Duration, k int) (Plan, bool) {
 	lead := -1
-	for _, i := range readers {
+	for _, i := range candidates {
 		if !engines[i].HelpOnly && engines[i].Load.Streams < p.Slots && (lead < 0 || engines[i].Load.Held < engines[lead].Load.Held) {
 			lead = i
 		}
@@ -27,11 +28,11 @@
 	if lead < 0 {
 		return Plan{}, false
 	}
-	plan := Plan{Lead: lead, Helpers: firstOf(idleOf(engines, helpersOf(p, engines, readers, lead)), k-1), Part: part}
+	plan := Plan{Lead: lead, Helpers: firstN(withoutLooseStreams(engines, eligibleHelpers(p, engines, candidates, lead)), k-1), Part: part}
 	missing := call.Prompt + call.Answer - freeMemory(p, &engines[lead])
 	for _, i := range plan.Helpers {
 		free := freeMemory(p, &engines[i])
-		if missing <= 0 || free < leastPart(p) {
+		if missing <= 0 || free < minPartTokens(p) {
 			continue
 		}
 		tokens := min(missing, free)
@@ -41,24 +42,24 @@
 	return plan, missing <= 0
 }
 
-// freeMemory is what may still be planned with at an engine.
+// freeMemory returns how many tokens of memory may still be allocated on an engine.
 func freeMemory(p *settings.EngineProfile, e *Engine) int {
-	return max(0, int(memoryUsed*float64(p.MemoryTokens))-e.Load.Held)
+	return max(0, int(plannedMemoryFraction*float64(p.MemoryTokens))-e.Load.Held)
 }
 
-// fits reports whether a call's memory is free.
-func fits(p *settings.EngineProfile, e *Engine, call *Call) bool {
-	return float64(e.Load.Held+call.Prompt+call.Answer) <= memoryUsed*float64(p.MemoryTokens)
+// fitsMemory reports whether an engine has enough free memory for a call.
+func fitsMemory(p *settings.EngineProfile, e *Engine, call *Call) bool {
+	return float64(e.Load.Held+call.Prompt+call.Answer) <= plannedMemoryFraction*float64(p.MemoryTokens)
 }
 
-// leadAmong returns the engine that answers, -1 if none has the memory and a slot.
-// Long streams gather on few engines too, as long as the parts that these read are
-// short enough for them; the others read without any stream to wait for them.
-func leadAmong(p *settings.EngineProfile, engines []Engine, readers []int, call *Call, part time.Duration) int {
+// bestLead returns the engine that decodes the answer, or -1 if none has the memory and a slot.
+// Streams with long pauses share few engines too, as long as the parts prefilled there are short
+// enough for them; the other engines then prefill without delaying any stream.
+func bestLead(p *settings.EngineProfile, engines []Engine, candidates []int, call *Call, part time.Duration) int {
 	best, bestRank := -1, 0
-	for _, i := range readers {
+	for _, i := range candidates {
 		e := &engines[i]
-		if e.HelpOnly || !fits(p, e, call) || e.Load.Streams >= p.Slots {
+		if e.HelpOnly || !fitsMemory(p, e, call) || e.Load.Streams >= p.Slots {
 			continue
 		}
 		rank := leadRank(p, &e.Load, part)
@@ -69,12 +70,12 @@
 	return best
 }
 
-// leadRank orders engines as lead engines of long streams; the lowest is the best.
+// leadRank ranks an engine as the lead of a stream with long pauses; lower is better.
 func leadRank(p *settings.EngineProfile, load *loadshare.Load, part time.Duration) int {
 	switch {
 	case load.Tight > 0:
 		return 3
-	case load.Reading+part > loosePause(p):
+	case load.Reading+part > minLoosePause(p):
 		return 2
 	case load.Streams == 0:
 		return 1
@@ -83,4 +84,4 @@
 	}
 }
 
-func firstOf(list []int, n int) []int { return list[:min(n, len(list))] }
+func firstN(list []int, n int) []int { return list[:min(n, len(list))] }
--- a/placement/limits.go
+++ b/placement/limits.go
@@ -6,105 +6,116 @@
 	"celeryport/settings"
 )
 
-// What engines may read beside their streams follows from the law of the engines and
-// from the pauses that the routes allow. As fixed times, these limits would be wrong for
-// a fleet whose engines are faster or slower.
+// The limits on prefill beside running streams are derived from the engine's performance profile
+// and from the pauses that the routes allow. Fixed durations would be wrong for a fleet with
+// faster or slower engines.
 const (
-	// passesWithoutPause stands in for the shortest pause where no route names one: a
-	// stream is noticed to stand still when some of its events are missing.
-	passesWithoutPause = 5
-	// waitingShare is the part of the room of a pause that may wait at an engine with
-	// tight streams, a new prompt included: two such parts may meet in one pass.
-	waitingShare = 0.5
-	// partShare is the part of the room of a pause that a part of a prompt may take
-	// without being felt: two of them may meet in one pass, with two usual short
+	// defaultPausePasses replaces the shortest pause if no route sets one: a caller notices that
+	// a stream stalls when a few of its events are missing.
+	defaultPausePasses = 5
+	// queuedFraction is the fraction of the pause budget that may be queued as prefill on an
+	// engine with tight streams, including a new prompt. Two such amounts may fall into one
+	// pass.
+	queuedFraction = 0.5
+	// partFraction is the fraction of the pause budget that a part of a prompt may take without
+	// delaying a tight stream. Two parts may fall into one pass, together with two typical short
 	// prompts.
-	partShare = 0.3
-	// spacedShare is the part of the room of a pause that a part of a long prompt may
+	partFraction = 0.3
+	// spacedPartFraction is the fraction of the pause budget that a part of a long prompt may
 	// take; the rest is for two or three short prompts.
-	spacedShare = 0.6
-	// calmRoom is the part of the room up to which the mean reading at an engine counts
-	// as calm: more than short prompts alone leave there.
-	calmRoom = 0.25
-	// looseShare is the part of a pass full of reading that a stream has to bear to
-	// share an engine with long reading.
-	looseShare = 0.8
-	// deepPieces is how much longer a piece in the middle of a long prompt takes than
-	// one at its begin, because of the pairs.
-	deepPieces = 2
-	// shortPart is the part of what may wait that a usual short prompt takes; three of
-	// them and a new one just fit.
-	shortPart = 0.25
+	spacedPartFraction = 0.6
+	// calmFraction is the fraction of the pause budget up to which the mean queued prefill of
+	// the engines counts as calm. It is more than short prompts alone cause.
+	calmFraction = 0.25
+	// loosePauseFraction is the fraction of a pass filled with prefill that a stream must
+	// tolerate as a pause to share an engine with long prefill.
+	loosePauseFraction = 0.8
+	// deepChunkFactor is how many times as long a chunk in the middle of a long prompt takes as
+	// one at the start, because of attention over the preceding tokens.
+	deepChunkFactor = 2
+	// typicalShortFraction is the fraction of maxShortPrefill that a typical short prompt takes,
+	// so that three of them and a new one just fit.
+	typicalShortFraction = 0.25
 )
 
-// leastPause is the shortest pause between two events that is in time on any route.
-func leastPause(p *settings.EngineProfile) time.Duration {
+// minPause returns the shortest pause between two events that any route allows.
+func minPause(p *settings.EngineProfile) time.Duration {
 	if p.LeastPause > 0 {
 		return p.LeastPause
 	}
-	return passesWithoutPause * passOf(p, p.Slots)
+	return defaultPausePasses * passTime(p, p.Slots)
 }
 
-// pauseRoom is what the shortest pause leaves for reading in a pass of an engine with
-// all slots taken; a piece is never interrupted.
-func pauseRoom(p *settings.EngineProfile) time.Duration {
-	return max(leastPause(p)-passOf(p, p.Slots), pieceOf(p))
+// pauseBudget returns the time that the shortest pause leaves for prefill in a pass of an engine
+// with all slots taken. It is at least one chunk, because a chunk is never interrupted.
+func pauseBudget(p *settings.EngineProfile) time.Duration {
+	return max(minPause(p)-passTime(p, p.Slots), chunkTime(p))
 }
 
-// shortReading is the most reading that may wait at an engine with tight streams, a
-// new prompt included.
-func shortReading(p *settings.EngineProfile) time.Duration { return share(waitingShare, pauseRoom(p)) }
+// maxShortPrefill returns the maximum prefill time that may be queued on an engine with tight
+// streams, including a new prompt.
+func maxShortPrefill(p *settings.EngineProfile) time.Duration {
+	return fraction(queuedFraction, pauseBudget(p))
+}
 
-// tightPart is the longest part that tight streams don't feel.
-func tightPart(p *settings.EngineProfile) time.Duration { return share(partShare, pauseRoom(p)) }
+// maxTightPart returns the longest part that doesn't delay tight streams.
+func maxTightPart(p *settings.EngineProfile) time.Duration {
+	return fraction(partFraction, pauseBudget(p))
+}
 
-// spacedPart is the longest part of a long prompt that tight streams don't feel. A pass
-// is kept free after it, so that it never meets another one.
-func spacedPart(p *settings.EngineProfile) time.Duration { return share(spacedShare, pauseRoom(p)) }
+// maxSpacedPart returns the longest part of a long prompt that doesn't delay tight streams when
+// the pass after it is kept free, so that two such parts never fall into one pass.
+func maxSpacedPart(p *settings.EngineProfile) time.Duration {
+	return fraction(spacedPartFraction, pauseBudget(p))
+}
 
-// usualShort is the reading of a usual short prompt.
-func usualShort(p *settings.EngineProfile) time.Duration { return share(shortPart, shortReading(p)) }
+// typicalShortPrefill returns the prefill time of a typical short prompt.
+func typicalShortPrefill(p *settings.EngineProfile) time.Duration {
+	return fraction(typicalShortFraction, maxShortPrefill(p))
+}
 
-// loosePause is the least pause with which a stream may share an engine with long
-// reading, and the most reading that may wait beside such streams.
-func loosePause(p *settings.EngineProfile) time.Duration { return share(looseShare, passReading(p)) }
+// minLoosePause returns the shortest allowed pause with which a stream may share an engine with
+// long prefill. It is also the maximum prefill time that may be queued beside such streams.
+func minLoosePause(p *settings.EngineProfile) time.Duration {
+	return fraction(loosePauseFraction, maxPassPrefill(p))
+}
 
-// freeReading is the reading with which an engine counts as free: a piece, which it
-// does not interrupt.
-func freeReading(p *settings.EngineProfile) time.Duration { return deepPieces * pieceOf(p) }
+// maxFreePrefill returns the queued prefill time up to which an engine counts as free: that of a
+// chunk, which the engine doesn't interrupt.
+func maxFreePrefill(p *settings.EngineProfile) time.Duration { return deepChunkFactor * chunkTime(p) }
 
-// leastPart is the smallest part of a prompt, in tokens, that is worth another engine.
-func leastPart(p *settings.EngineProfile) int { return max(1, leastPieces*p.Chunk) }
+// minPartTokens returns the smallest part of a prompt, in tokens, that is worth another engine.
+func minPartTokens(p *settings.EngineProfile) int { return max(1, minPartChunks*p.Chunk) }
 
-// leastPieces is how many pieces an engine reads at least of what it helps with.
-const leastPieces = 2
+// minPartChunks is the minimum number of chunks that a helper prefills.
+const minPartChunks = 2
 
-// pieceOf returns how long an engine reads a piece at the begin of a prompt.
-func pieceOf(p *settings.EngineProfile) time.Duration {
+// chunkTime returns the prefill time of a chunk at the start of a prompt.
+func chunkTime(p *settings.EngineProfile) time.Duration {
 	if p.ReadRate <= 0 {
 		return 0
 	}
 	return time.Duration(float64(p.Chunk) / p.ReadRate * float64(time.Second))
 }
 
-// passReading is the most reading in one pass: a piece in each step. An engine
-// reads a new prompt beside the others, so that it waits for no more than that, however
-// much there is to read.
-func passReading(p *settings.EngineProfile) time.Duration {
-	return deepPieces * pieceOf(p) * time.Duration(max(1, p.Stride))
+// maxPassPrefill returns the maximum prefill time in one pass: a chunk in each step. An engine
+// interleaves a new prompt with the queued ones, so a prompt waits for no more than this,
+// however much is queued.
+func maxPassPrefill(p *settings.EngineProfile) time.Duration {
+	return deepChunkFactor * chunkTime(p) * time.Duration(max(1, p.Stride))
 }
 
-// tightValue is what a tight stream is worth, in tokens of the prompt: a usual short
-// prompt and its answer.
-func tightValue(p *settings.EngineProfile) float64 {
-	return usualShort(p).Seconds()*p.ReadRate + float64(answerValue*p.UsualAnswer)
+// tightStreamValue returns the value of a tight stream in prompt tokens: a typical short prompt
+// and its answer.
+func tightStreamValue(p *settings.EngineProfile) float64 {
+	return typicalShortPrefill(p).Seconds()*p.ReadRate + float64(answerTokenValue*p.UsualAnswer)
 }
 
-// FullWait is how long a call waits for its first event at an engine with all slots
-// taken: for the end of a usual answer that has just begun.
+// FullWait returns how long a call waits for its first event on an engine with all slots taken:
+// until the end of a typical answer that has just started.
 func FullWait(p *settings.EngineProfile) time.Duration {
 	passes := float64(p.UsualAnswer) / float64(max(1, p.Stride))
-	return time.Duration(passes * float64(passOf(p, p.Slots)))
+	return time.Duration(passes * float64(passTime(p, p.Slots)))
 }
 
-func share(part float64, of time.Duration) time.Duration { return time.Duration(part * float64(of)) }
+func fraction(part float64, of time.Duration) time.Duration { return time.Duration(part * float64(of)) }
--- a/placement/pack.go
+++ b/placement/pack.go
@@ -6,33 +6,33 @@
 	"celeryport/settings"
 )
 
-// pack puts a short prompt on one of the engines where short streams gather.
-func pack(p *settings.EngineProfile, engines []Engine, usable []int, call *Call, reading time.Duration) (Plan, bool) {
-	lead, found := gatherLead(p, engines, usable, call, reading)
+// packShort places a short prompt on one of the engines onto which tight streams are packed.
+func packShort(p *settings.EngineProfile, engines []Engine, usable []int, call *Call, prefill time.Duration) (Plan, bool) {
+	lead, found := packingLead(p, engines, usable, call, prefill)
 	if !found {
 		return Plan{}, false
 	}
-	return Plan{Lead: lead, Part: reading, FirstEvent: firstEvent(p, &engines[lead], reading)}, true
+	return Plan{Lead: lead, Part: prefill, FirstEvent: predictFirstEvent(p, &engines[lead], prefill)}, true
 }
 
-// packInParts puts a stream with tight pauses on an engine that is kept free of
-// long reading, and has readers read most of its prompt: as many parts as make its own
-// part short.
-func packInParts(p *settings.EngineProfile, engines []Engine, usable []int, call *Call, reading time.Duration) (Plan, bool) {
-	readers := readersOf(engines, usable)
-	early := time.Duration(earlyShare * float64(call.Objective))
+// packSplit places a tight stream on an engine that is kept free of long prefill, and has
+// helpers prefill most of its prompt: as many parts as it takes to make the lead engine's part
+// short.
+func packSplit(p *settings.EngineProfile, engines []Engine, usable []int, call *Call, prefill time.Duration) (Plan, bool) {
+	candidates := prefillOrder(engines, usable)
+	early := time.Duration(earlyFraction * float64(call.Objective))
 	best := Plan{}
-	for k := 2; k <= min(len(readers)+1, mostHelpers+1, call.Prompt/leastPart(p)); k++ {
-		part := reading / time.Duration(k)
-		lead, found := gatherLead(p, engines, usable, call, part)
+	for k := 2; k <= min(len(candidates)+1, maxHelpers+1, call.Prompt/minPartTokens(p)); k++ {
+		part := prefill / time.Duration(k)
+		lead, found := packingLead(p, engines, usable, call, part)
 		if !found {
 			continue
 		}
-		helpers := partHelpers(p, engines, readers, lead)
+		helpers := partHelpers(p, engines, candidates, lead)
 		if len(helpers) < k-1 {
 			break
 		}
-		first := engines[lead].Load.Reading + part + 2*passOf(p, engines[lead].Load.Streams+1)
+		first := engines[lead].Load.Reading + part + 2*passTime(p, engines[lead].Load.Streams+1)
 		if best.Part == 0 || first < best.FirstEvent {
 			best = Plan{Lead: lead, Helpers: helpers[:k-1], Part: part, FirstEvent: first}
 		}
@@ -43,14 +43,14 @@
 	return best, best.Part > 0 && best.FirstEvent <= call.Objective
 }
 
-// awaitsParts reports whether a tight stream that found no engines to read its prompt
-// in short parts should wait for some. Read beside long prompts, its own events come
-// too late.
-func awaitsParts(p *settings.EngineProfile, call *Call, reading time.Duration) bool {
-	divisible := reading <= (mostHelpers+1)*shortReading(p)
-	return divisible && call.Waited < time.Duration(earlyShare*float64(call.Objective))
+// shouldAwaitHelpers reports whether a tight stream should wait if no engines are available to
+// prefill its prompt in short parts. If it were prefilled beside long prompts, its own events
+// would be late.
+func shouldAwaitHelpers(p *settings.EngineProfile, call *Call, prefill time.Duration) bool {
+	divisible := prefill <= (maxHelpers+1)*maxShortPrefill(p)
+	return divisible && call.Waited < time.Duration(earlyFraction*float64(call.Objective))
 }
 
 func hasRoom(p *settings.EngineProfile, e *Engine, call *Call) bool {
-	return e.Load.Streams < p.Slots-spareSlots && fits(p, e, call)
+	return e.Load.Streams < p.Slots-spareSlots && fitsMemory(p, e, call)
 }
--- a/placement/prompt.go
+++ b/placement/prompt.go
@@ -9,61 +9,60 @@
 )
 
 const (
-	// earlyShare is the part of the objective within which the first event is planned,
-	// where engines are free; the rest is for what comes between.
-	earlyShare = 0.5
-	// lateShare is the part of the objective by which the first event of a long prompt
-	// has to be planned; the rest is for prompts of the same moment.
-	lateShare = 0.95
-	// spareSlots stay free on each engine, for calls that other instances send before
-	// they have heard of each other.
+	// earlyFraction is the fraction of the objective within which the first event is planned
+	// while engines are free; the rest is a margin for prompts placed meanwhile.
+	earlyFraction = 0.5
+	// latestFraction is the fraction of the objective within which the first event of a long
+	// prompt has to be planned; the rest is a margin for prompts placed at the same moment.
+	latestFraction = 0.95
+	// spareSlots is the number of slots kept free on each engine for calls that other instances
+	// place before they learn of each other's.
 	spareSlots = 2
-	// mostHelpers is what engines take.
-	mostHelpers = 16
-	// memoryUsed is the part of an engine's memory that is planned with; the rest is
-	// for answers longer than stated.
-	memoryUsed = 0.95
+	// maxHelpers is the maximum number of helpers that engines accept for one prompt.
+	maxHelpers = 16
+	// plannedMemoryFraction is the fraction of an engine's memory that plans may use; the rest
+	// is for answers longer than stated.
+	plannedMemoryFraction = 0.95
 )
 
-// Tight reports whether a stream's pauses are too short for it to share an engine
-// with long reading.
+// Tight reports whether the pauses that a stream allows are too short for it to share an engine
+// with long prefill.
 func Tight(p *settings.EngineProfile, longPause time.Duration) bool {
-	return longPause > 0 && longPause < loosePause(p)
+	return longPause > 0 && longPause < minLoosePause(p)
 }
 
-// Prompt plans a call with a prompt. The last return is false when no engine can
-// take it now; the plan then holds when to plan again, or else the soonest first
-// event that is to be had.
+// Prompt plans a call with a prompt. It returns false if no engine can accept the call now; the
+// plan then says when to plan again, or else the earliest possible first event.
 func Prompt(p *settings.EngineProfile, engines []Engine, call *Call) (Plan, bool) {
 	usable := usableEngines(engines)
-	plan, found := prompt(p, engines, usable, call)
-	plan.Seen = seen(engines, usable)
+	plan, found := planPrompt(p, engines, usable, call)
+	plan.Seen = summarise(engines, usable)
 	return plan, found
 }
 
-func prompt(p *settings.EngineProfile, engines []Engine, usable []int, call *Call) (Plan, bool) {
-	reading := Reading(p, call.Prompt)
-	if reading <= shortReading(p) {
-		if plan, found := pack(p, engines, usable, call, reading); found {
+func planPrompt(p *settings.EngineProfile, engines []Engine, usable []int, call *Call) (Plan, bool) {
+	prefill := Reading(p, call.Prompt)
+	if prefill <= maxShortPrefill(p) {
+		if plan, found := packShort(p, engines, usable, call, prefill); found {
 			return plan, true
 		}
 	}
-	if Tight(p, call.LongPause) && reading > shortReading(p) {
-		if plan, found := packInParts(p, engines, usable, call, reading); found {
+	if Tight(p, call.LongPause) && prefill > maxShortPrefill(p) {
+		if plan, found := packSplit(p, engines, usable, call, prefill); found {
 			return plan, true
 		}
-		if awaitsParts(p, call, reading) {
-			return Plan{Wait: leastWait, Part: reading, FirstEvent: reading}, false
+		if shouldAwaitHelpers(p, call, prefill) {
+			return Plan{Wait: minWait, Part: prefill, FirstEvent: prefill}, false
 		}
 	}
-	if reading > shortReading(p) {
-		return spread(p, engines, usable, call, reading)
+	if prefill > maxShortPrefill(p) {
+		return spread(p, engines, usable, call, prefill)
 	}
-	return soonest(p, engines, usable, call, reading)
+	return planEarliest(p, engines, usable, call, prefill)
 }
 
-// usableEngines lists the engines that may be taken, in their order: those that
-// did not fail of late, or all that the call has not met if there are no others.
+// usableEngines returns the usable engines sorted by Order: those that haven't failed recently
+// and, if there are none, all that haven't received the call yet.
 func usableEngines(engines []Engine) []int {
 	usable := filter(engines, func(e *Engine) bool { return !e.Avoid && !e.Tried })
 	if len(usable) == 0 {
@@ -88,42 +87,43 @@
 	return found
 }
 
-// soonest takes one of the engines with the earliest first events when no good one
-// is left. All instances see the same ones: the very earliest get more streams than
-// they have slots at a turn of the mix, while others have one.
-func soonest(p *settings.EngineProfile, engines []Engine, usable []int, call *Call, reading time.Duration) (Plan, bool) {
-	plan := Plan{Part: reading}
+// planEarliest is the fallback if no engine suits: it picks one of the engines with the earliest
+// first events. All instances rank the engines alike, so always taking the very earliest would
+// give it more streams than it has slots when the mix of prompts changes, while other engines
+// have one.
+func planEarliest(p *settings.EngineProfile, engines []Engine, usable []int, call *Call, prefill time.Duration) (Plan, bool) {
+	plan := Plan{Part: prefill}
 	usable = slices.DeleteFunc(slices.Clone(usable), func(i int) bool { return engines[i].HelpOnly })
 	if p.MemoryTokens > 0 && call.Prompt+call.Answer > p.MemoryTokens || len(usable) == 0 {
-		return Plan{Excess: call.Left}, false // no engine alone will ever take it
+		return Plan{Excess: call.Left}, false // no engine alone can ever hold it
 	}
 	first := func(i int) time.Duration {
 		e := engines[i]
 		e.Load.Streams += spareSlots
-		return firstEvent(p, &e, reading)
+		return predictFirstEvent(p, &e, prefill)
 	}
 	early := slices.SortedStableFunc(slices.Values(usable), func(a, b int) int { return cmp.Compare(first(a), first(b)) })
-	early = early[:1+len(early)/soonestPart]
-	a, b := drawn(early, call.Draw[0]), drawn(early, call.Draw[1])
+	early = early[:1+len(early)/earliestDivisor]
+	a, b := pick(early, call.Draw[0]), pick(early, call.Draw[1])
 	if first(b) < first(a) {
 		a = b
 	}
 	plan.Lead, plan.FirstEvent = a, first(a)
 	if engines[plan.Lead].Load.Streams < p.Slots {
-		return within(plan, call.Left) // late for once, at an engine where nobody else is in time
+		return acceptWithin(plan, call.Left) // late, but on an engine where no other call would be in time
 	}
-	return within(plan, min(call.Left, call.Objective))
+	return acceptWithin(plan, min(call.Left, call.Objective))
 }
 
-// soonestPart is the part of the engines, one in so many, among which the soonest is
-// drawn: enough that calls of the same moment seldom meet.
-const soonestPart = 8
+// earliestDivisor sets the group from which planEarliest picks: one in so many engines, enough
+// that calls of the same moment rarely pick the same one.
+const earliestDivisor = 8
 
-// within accepts a plan whose first event comes before a limit.
-func within(plan Plan, limit time.Duration) (Plan, bool) {
+// acceptWithin accepts a plan if its first event comes within the limit.
+func acceptWithin(plan Plan, limit time.Duration) (Plan, bool) {
 	plan.Excess = max(0, plan.FirstEvent-limit)
 	return plan, plan.Excess == 0
 }
 
-// Long reports whether a prompt is long: it keeps an engine from its streams.
-func Long(p *settings.EngineProfile, prompt int) bool { return Reading(p, prompt) > shortReading(p) }
+// Long reports whether a prompt is long, which means that its prefill delays tight streams.
+func Long(p *settings.EngineProfile, prompt int) bool { return Reading(p, prompt) > maxShortPrefill(p) }
--- a/placement/prompt_test.go
+++ b/placement/prompt_test.go
@@ -13,8 +13,8 @@
 	"celeryport/settings"
 )
 
-// testProfile has the figures of a usual engine: 154 prompt tokens are read in a
-// millisecond, and a pass of 34 steps takes 45 ms.
+// testProfile is a typical engine: it prefills 154 tokens per millisecond, and a pass of 34
+// steps takes 45 ms.
 var testProfile = &settings.EngineProfile{
 	Slots: 16, MemoryTokens: 405_000, Stride: 34, Step: 1310 * time.Microsecond, ReadRate: 154_000,
 	PairsPerM: 162 * time.Microsecond, Chunk: 2048, UsualPrompt: 11_000, UsualAnswer: 1_300,
@@ -35,8 +35,8 @@
 	tightLong = Call{Prompt: 45_000, Answer: 780, Objective: 1500 * time.Millisecond, LongPause: 600 * time.Millisecond, Left: 10 * time.Second}
 )
 
-// put adds a planned call to the loads, as instances do.
-func put(engines []Engine, plan *Plan, call *Call) {
+// addPlan adds a planned call to the loads, as instances do.
+func addPlan(engines []Engine, plan *Plan, call *Call) {
 	lead := &engines[plan.Lead].Load
 	lead.Streams++
 	lead.Leading++
@@ -52,17 +52,16 @@
 }
 
 func TestShortPromptsLeaveEnginesToLongOnes(t *testing.T) {
-	// Forty short streams run at the same time. Spread evenly over all engines, they
-	// would be on each of them, and every long prompt would make some of them wait
-	// half a second for their next event.
+	// Forty short streams run at the same time. If they were spread evenly over all engines,
+	// every long prompt would make some of them wait half a second for their next event.
 	engines := testEngines(14)
 	for range 40 {
 		plan, found := Prompt(testProfile, engines, &shortCall)
 		if !found {
-			t.Fatal("a short prompt was refused")
+			t.Fatal("a short prompt was rejected")
 		}
-		put(engines, &plan, &shortCall)
-		engines[plan.Lead].Load.Reading, engines[plan.Lead].Load.Leading = 0, 0 // it is read before the next one comes
+		addPlan(engines, &plan, &shortCall)
+		engines[plan.Lead].Load.Reading, engines[plan.Lead].Load.Leading = 0, 0 // prefilled before the next prompt arrives
 	}
 	used := 0
 	for i := range engines {
@@ -75,11 +74,11 @@
 	}
 	plan, found := Prompt(testProfile, engines, &longCall)
 	if !found {
-		t.Fatal("the long prompt was refused")
+		t.Fatal("the long prompt was rejected")
 	}
 	for _, i := range append([]int{plan.Lead}, plan.Helpers...) {
 		if engines[i].Load.Tight > 0 {
-			t.Errorf("engine %d has %d short streams and reads a part of %s", i, engines[i].Load.Tight, plan.Part)
+			t.Errorf("engine %d has %d short streams and prefills a part of %s", i, engines[i].Load.Tight, plan.Part)
 		}
 	}
 	if plan.FirstEvent > time.Second {
@@ -87,68 +86,70 @@
 	}
 }
 
-func TestTightStreamsOfLongPromptsAreKeptFromLongReading(t *testing.T) {
-	// A prompt of 45,000 tokens takes half a second of reading, and its stream may
-	// not pause for longer than 600 ms. On an engine that reads the parts of others
-	// it does, again and again.
+func TestTightStreamsOfLongPromptsAreKeptFromLongPrefill(t *testing.T) {
+	// A prompt of 45,000 tokens takes half a second to prefill, and its stream may not pause for
+	// longer than 600 ms. On an engine that prefills parts of other prompts it does so again and
+	// again.
 	engines := testEngines(14)
 	for range 3 {
 		plan, found := Prompt(testProfile, engines, &longCall)
 		switch {
 		case found:
-			put(engines, &plan, &longCall)
+			addPlan(engines, &plan, &longCall)
 		case plan.Wait == 0:
-			t.Fatal("a long prompt was refused")
+			t.Fatal("a long prompt was rejected")
 		}
 	}
-	put(engines, &Plan{Lead: 0}, &shortCall)
+	addPlan(engines, &Plan{Lead: 0}, &shortCall)
 	engines[0].Load.Reading, engines[0].Load.Leading = 0, 0
 	plan, found := Prompt(testProfile, engines, &tightLong)
 	if !found && plan.Wait == 0 {
-		t.Fatal("it was refused")
+		t.Fatal("the prompt was rejected")
 	}
 	for i := range engines {
-		if !found && i > 2 && i < 8 { // five engines have read their parts
+		if !found && i > 2 && i < 8 { // five engines have prefilled their parts
 			engines[i].Load.Reading, engines[i].Load.Leading, engines[i].Load.Helping = 0, 0, 0
 		}
 	}
 	if plan, found = Prompt(testProfile, engines, &tightLong); !found {
-		t.Fatalf("plan %+v: refused although five engines are free", plan)
+		t.Fatalf("plan %+v: rejected although five engines are free", plan)
 	}
-	if engines[plan.Lead].Load.Reading+plan.Part > shortReading(testProfile) {
-		t.Errorf("its stream is on engine %d, which reads %s besides its part of %s", plan.Lead, engines[plan.Lead].Load.Reading, plan.Part)
+	if engines[plan.Lead].Load.Reading+plan.Part > maxShortPrefill(testProfile) {
+		t.Errorf("the stream is on engine %d, which has %s of prefill queued besides the part of %s", plan.Lead, engines[plan.Lead].Load.Reading, plan.Part)
 	}
 }
 
 func TestLongPromptsLeaveTheEnginesOfShortStreamsAlone(t *testing.T) {
-	// Short streams gather on a few engines, which have nothing to read just now. A long
-	// prompt that is read there sends the next short ones to all other engines, until
-	// each engine has some and every long prompt makes some of them late.
+	// Short streams are packed onto a few engines, which have nothing to prefill at the moment.
+	// If a long prompt were prefilled there, the next short ones would go to all other engines,
+	// until each engine had some and every long prompt made some of them late.
 	engines := testEngines(16)
 	for i := range 3 {
 		engines[i].Load = loadshare.Load{Streams: 8, Tight: 8}
 	}
 	plan, found := Prompt(testProfile, engines, &longCall)
 	if !found || plan.Lead < 3 || slices.ContainsFunc(plan.Helpers, func(i int) bool { return i < 3 }) {
-		t.Errorf("engines %v help engine %d (%t), 0 to 2 write short streams", plan.Helpers, plan.Lead, found)
+		t.Errorf("engines %v help engine %d (%t), engines 0 to 2 run short streams", plan.Helpers, plan.Lead, found)
 	}
 }
 
-func TestNoEngineIsKeptForStreamsThatAreNotThere(t *testing.T) {
-	// A small fleet gets long prompts only. Engines that are kept for short streams stand
-	// idle, and a prompt that needs the memory of three engines is refused for good.
+func TestNoEngineIsReservedForAbsentStreams(t *testing.T) {
+	// A small fleet gets long prompts only. If engines were reserved for short streams, they
+	// would be idle, and a prompt that needs the memory of three engines would always be
+	// rejected.
 	engines := testEngines(3)
 	huge := longCall
 	huge.Prompt, huge.Objective, huge.Left = 900_000, time.Minute, 2*time.Minute
 	plan, found := Prompt(testProfile, engines, &huge)
 	if !found || len(plan.Helpers) != 2 {
-		t.Errorf("engines %v help (%t), want both others", plan.Helpers, found)
+		t.Errorf("engines %v help (%t), want both other engines", plan.Helpers, found)
 	}
 }
 
-func TestLongPromptsKeepAwayFromWhereShortStreamsGather(t *testing.T) {
-	// The mix has turned, and every engine has short streams, the first ones fewest. A
-	// long prompt that is read there sends the next short ones to all other engines.
+func TestLongPromptsAvoidEnginesOfPackedShortStreams(t *testing.T) {
+	// After a change of the mix every engine has short streams, and the first ones have the
+	// fewest. If a long prompt were prefilled there, the next short ones would go to all other
+	// engines.
 	engines := testEngines(16)
 	for i := range engines {
 		engines[i].Load = loadshare.Load{Streams: 8, Tight: 8}
@@ -159,14 +160,14 @@
 	long := longCall
 	long.Objective = 6 * time.Second
 	if plan, found := Prompt(testProfile, engines, &long); found && plan.Lead < 3 || !found && plan.Wait == 0 {
-		t.Errorf("plan %+v (%t), engines 0 to 2 are those where short streams gather", plan, found)
+		t.Errorf("plan %+v (%t), short streams are packed onto engines 0 to 2", plan, found)
 	}
 }
 
-func TestLongPromptsAreNotReadBesideLongStreams(t *testing.T) {
-	// All engines write a long stream. Beside reading, each takes ten times as long and
-	// keeps the memory of its prompt: soon no engine has memory for the next one. The
-	// streams end within a second by themselves.
+func TestLongPromptsAreNotPrefilledBesideLongStreams(t *testing.T) {
+	// All engines run a stream with long pauses. Beside prefill each stream takes ten times as
+	// long and holds the memory of its prompt, so that soon no engine has memory for the next
+	// one. The streams end within a second by themselves.
 	engines := testEngines(16)
 	for i := range engines {
 		engines[i].Load = loadshare.Load{Streams: 1, Held: 150_000}
@@ -176,10 +177,10 @@
 	}
 }
 
-func TestLongStreamsGatherWhileTheirPartsAreShort(t *testing.T) {
-	// One engine writes a long stream. While each further one takes an engine of its own,
-	// seven to nine of fourteen engines write one stream each and read nothing, and one
-	// long prompt in five is refused.
+func TestLongStreamsShareEnginesWhileTheirPartsAreShort(t *testing.T) {
+	// One engine runs a stream with long pauses. If each further one were placed on an engine of
+	// its own, seven to nine of fourteen engines would run one stream each and prefill nothing,
+	// and one long prompt in five would be rejected.
 	engines := testEngines(16)
 	engines[5].Load = loadshare.Load{Streams: 1, Held: 50_000}
 	long := longCall
@@ -190,24 +191,24 @@
 	}
 }
 
-func TestTightStreamsOfLongPromptsLiveBesideShortOnes(t *testing.T) {
-	// A stream that may pause for 600 ms is written for a second. On an engine of its
-	// own it keeps that engine from long reading; beside short streams it costs nothing,
-	// as long as the others read most of its prompt.
+func TestTightStreamsOfLongPromptsShareEnginesWithShortOnes(t *testing.T) {
+	// A stream that may pause for 600 ms runs for a second. On an engine of its own it would
+	// keep that engine from long prefill; beside short streams it costs nothing, as long as the
+	// other engines prefill most of its prompt.
 	engines := testEngines(16)
 	for i := range 2 {
 		engines[i].Load = loadshare.Load{Streams: 6, Tight: 6}
 	}
 	plan, found := Prompt(testProfile, engines, &tightLong)
-	if !found || plan.Lead > 2 || plan.Part > shortReading(testProfile) || len(plan.Helpers) == 0 {
+	if !found || plan.Lead > 2 || plan.Part > maxShortPrefill(testProfile) || len(plan.Helpers) == 0 {
 		t.Errorf("plan %+v (%t), want a short part at one of the first engines", plan, found)
 	}
 }
 
 func TestTightStreamsWaitForShortParts(t *testing.T) {
-	// All engines but those of the short streams read long prompts for a third of a
-	// second and write what they read before. A tight stream on one of them pauses for
-	// too long. It waits, but not for longer than half of its objective.
+	// All engines except those of the short streams prefill long prompts for a third of a second
+	// and run the streams of earlier ones. A tight stream on one of them would pause for too
+	// long. It waits, but not for longer than half of its objective.
 	engines := testEngines(16)
 	for i := range engines {
 		engines[i].Load = loadshare.Load{Streams: 2, Leading: 1, Reading: 300 * time.Millisecond}
@@ -216,32 +217,32 @@
 		}
 	}
 	call := tightLong
-	if plan, found := Prompt(testProfile, engines, &call); found || plan.Wait != leastWait {
-		t.Errorf("plan %+v (%t), want it to wait for engines that read little", plan, found)
+	if plan, found := Prompt(testProfile, engines, &call); found || plan.Wait != minWait {
+		t.Errorf("plan %+v (%t), want it to wait for engines with little prefill", plan, found)
 	}
 	call.Waited = call.Objective
-	if plan, found := Prompt(testProfile, engines, &call); found || plan.Wait == leastWait {
-		t.Errorf("plan %+v (%t) when its objective has passed", plan, found)
+	if plan, found := Prompt(testProfile, engines, &call); found || plan.Wait == minWait {
+		t.Errorf("plan %+v (%t) after its objective has passed", plan, found)
 	}
 }
 
-func TestLateStreamsDoNotBarTheirEngines(t *testing.T) {
-	// Every engine has streams that are late whatever happens. Kept free for them, the
-	// engines stand idle while long prompts are refused.
+func TestLateStreamsDoNotBlockTheirEngines(t *testing.T) {
+	// Every engine has streams that are late in any case. If engines were kept free for them,
+	// they would be idle while long prompts are rejected.
 	engines := testEngines(16)
 	for i := range engines {
 		engines[i].Load = loadshare.Load{Streams: 4, Late: 4}
 	}
 	plan, found := Prompt(testProfile, engines, &longCall)
 	if !found || len(plan.Helpers) == 0 {
-		t.Errorf("plan %+v (%t), want several engines to read at once", plan, found)
+		t.Errorf("plan %+v (%t), want several engines to prefill at once", plan, found)
 	}
 }
 
-func TestPartsWaitForNoBusyEngine(t *testing.T) {
-	// A tight stream's prompt is read in four short parts. One of the engines still reads
-	// for a second: the first event waits for it, and the other engines count as helping
-	// and stand idle meanwhile.
+func TestPartsAvoidBusyEngines(t *testing.T) {
+	// The prompt of a tight stream is prefilled in four short parts. An engine with a second of
+	// queued prefill would delay the first event, and the other engines would count as helping
+	// and be idle meanwhile.
 	engines := testEngines(8)
 	for i := range engines {
 		if i < 5 {
@@ -251,32 +252,32 @@
 	plan, found := Prompt(testProfile, engines, &tightLong)
 	if found {
 		for _, i := range plan.Helpers {
-			if engines[i].Load.Reading > tightPart(testProfile) {
-				t.Errorf("engine %d reads for a second before its part of %s", i, plan.Part)
+			if engines[i].Load.Reading > maxTightPart(testProfile) {
+				t.Errorf("engine %d has a second of prefill queued before its part of %s", i, plan.Part)
 			}
 		}
 	}
 	if !found && plan.Wait == 0 {
-		t.Error("it was refused")
+		t.Error("the prompt was rejected")
 	}
 }
 
-func TestStuckStreamsDoNotBarTheirEngines(t *testing.T) {
-	// The mix has turned from short to long prompts. Every engine still has a tight
-	// stream or two. If that kept them from reading, one engine would read each long
-	// prompt alone, for four seconds and more, and its streams would not move on.
+func TestStalledStreamsDoNotBlockTheirEngines(t *testing.T) {
+	// After a change of the mix from short to long prompts every engine still has a tight stream
+	// or two. If that kept them from prefill, one engine would prefill each long prompt alone,
+	// for four seconds and more, and its streams would not progress.
 	engines := testEngines(14)
 	for i := range engines {
 		engines[i].Load = loadshare.Load{Streams: 1, Tight: 1}
 	}
 	if plan, found := Prompt(testProfile, engines, &longCall); !found && plan.Wait == 0 {
-		t.Fatal("the long prompt was refused")
+		t.Fatal("the long prompt was rejected")
 	}
 	long := longCall
 	long.Waited = long.Objective / 2
 	plan, found := Prompt(testProfile, engines, &long)
 	if !found {
-		t.Fatal("the long prompt waits on, although its time gets short")
+		t.Fatal("the long prompt still waits although its time runs short")
 	}
 	if len(plan.Helpers) == 0 || plan.FirstEvent > long.Objective-long.Waited {
 		t.Errorf("%d engines help, and the first event comes after %s", len(plan.Helpers), plan.FirstEvent)
@@ -284,8 +285,8 @@
 }
 
 func TestFullEnginesTakeNoMoreMemory(t *testing.T) {
-	// When an engine runs out of memory it throws out its newest stream, which is
-	// then read again from the start while its caller waits.
+	// An engine that runs out of memory evicts its newest stream, whose prompt is then prefilled
+	// again from the start while the caller waits.
 	engines := testEngines(8)
 	for i := range engines {
 		engines[i].Load.Held = 300_000
@@ -298,21 +299,20 @@
 }
 
 func TestLongPromptsWaitForFreeEngines(t *testing.T) {
-	// Engines read the newest part first. Two long prompts come one after the other,
-	// and the second one is put on the engines of the first one, which then has its
-	// first event late although it came first. With more to come, the oldest callers
-	// never get an answer.
+	// Engines prefill the newest part first. If the second of two long prompts were placed on
+	// the engines of the first one, the first prompt would have its first event late. With more
+	// prompts, the oldest callers would never get an answer.
 	engines := testEngines(18)
 	first, found := Prompt(testProfile, engines, &longCall)
 	if !found {
-		t.Fatal("the first prompt was refused")
+		t.Fatal("the first prompt was rejected")
 	}
-	put(engines, &first, &longCall)
+	addPlan(engines, &first, &longCall)
 	second, found := Prompt(testProfile, engines, &longCall)
 	if found {
 		for _, i := range append([]int{second.Lead}, second.Helpers...) {
-			if engines[i].Load.Reading > freeReading(testProfile) {
-				t.Errorf("engine %d gets a part while it has %s to read", i, engines[i].Load.Reading)
+			if engines[i].Load.Reading > maxFreePrefill(testProfile) {
+				t.Errorf("engine %d gets a part while it has %s of prefill queued", i, engines[i].Load.Reading)
 			}
 		}
 	} else if second.Wait == 0 || second.Wait > first.Part {
@@ -321,9 +321,9 @@
 }
 
 func TestLongPromptsWaitForManyTightStreams(t *testing.T) {
-	// The mix turns: every engine writes four short streams, and a long prompt comes.
-	// Read beside them, it lets all of them pause for a second or two, and their callers
-	// give up in the middle. They end within two seconds by themselves.
+	// After a change of the mix every engine runs four short streams, and a long prompt arrives.
+	// Prefilled beside them, it would make all of them pause for a second or two, and their
+	// callers would give up in the middle. The streams end within two seconds by themselves.
 	engines := testEngines(14)
 	for i := range engines {
 		engines[i].Load = loadshare.Load{Streams: 4, Tight: 4}
@@ -335,111 +335,111 @@
 	}
 }
 
-func TestEnginesThatHaveReadTheirPartsAreFree(t *testing.T) {
-	// Twelve engines have read their parts of a prompt whose first event waits for a
-	// slow one. A long prompt that waits for that event too is late, while they idle.
+func TestEnginesThatPrefilledTheirPartsAreFree(t *testing.T) {
+	// Twelve engines have prefilled their parts of a prompt whose first event waits for a slow
+	// engine. A long prompt that waits for that event too is late, while they are idle.
 	engines := testEngines(13)
 	for i := range 12 {
 		engines[i].Load.Helping = 1
 	}
 	engines[12].Load = loadshare.Load{Streams: 1, Leading: 1, Reading: 2 * time.Second}
 	if plan, found := Prompt(testProfile, engines, &longCall); !found || len(plan.Helpers) == 0 {
-		t.Errorf("plan %+v (%t), want it read at once by engines that idle", plan, found)
+		t.Errorf("plan %+v (%t), want it to be prefilled at once by idle engines", plan, found)
 	}
 }
 
-func TestLongPromptsAreReadUpToTheirObjective(t *testing.T) {
-	// Engines are free so late that the first event of a long prompt comes within the
-	// last tenth of its objective. Predictions are right within a few hundredths of it:
-	// refused, the caller comes back when its answer can only be late.
+func TestLongPromptsAreAcceptedUpToTheirObjective(t *testing.T) {
+	// Engines become free so late that the first event of a long prompt comes within the last
+	// tenth of its objective. Predictions are accurate within a few hundredths of the objective.
+	// If the prompt were rejected, the caller would retry when its answer can only be late.
 	engines := testEngines(1)
 	prompt := longCall
-	prompt.Objective = Reading(testProfile, prompt.Prompt) + 2*passOf(testProfile, 1)
+	prompt.Objective = Reading(testProfile, prompt.Prompt) + 2*passTime(testProfile, 1)
 	prompt.Objective += prompt.Objective / 14
 	if plan, found := Prompt(testProfile, engines, &prompt); !found {
-		t.Errorf("refused with a first event after %s of %s", plan.FirstEvent, prompt.Objective)
+		t.Errorf("rejected with a first event after %s of %s", plan.FirstEvent, prompt.Objective)
 	}
 	prompt.Objective -= prompt.Objective / 8
 	if plan, found := Prompt(testProfile, engines, &prompt); found {
-		t.Errorf("taken with a first event after %s of %s", plan.FirstEvent, prompt.Objective)
+		t.Errorf("accepted with a first event after %s of %s", plan.FirstEvent, prompt.Objective)
 	}
 }
 
-// Guards against refusing a prompt whose engine failed it late, while other engines idle.
+// Guards against rejecting a prompt whose engine failed late, while other engines are idle.
 func TestPromptsThatFailedLateGoToFreeEngines(t *testing.T) {
 	engines := testEngines(17)
 	failed := longCall
 	failed.Waited, failed.Left = failed.Objective, 11*time.Second
 	plan, found := Prompt(testProfile, engines, &failed)
 	if !found || plan.FirstEvent > failed.Left/2 {
-		t.Errorf("plan %+v (%t), want it read at once", plan, found)
+		t.Errorf("plan %+v (%t), want it to be prefilled at once", plan, found)
 	}
 	for i := range engines {
 		engines[i].Load = loadshare.Load{Streams: 1, Leading: 1, Reading: 500 * time.Millisecond}
 	}
 	if plan, found := Prompt(testProfile, engines, &failed); found || plan.Wait > 0 {
-		t.Errorf("plan %+v (%t), want a refusal while no engine is free", plan, found)
+		t.Errorf("plan %+v (%t), want a rejection while no engine is free", plan, found)
 	}
 }
 
 func TestOverdueCallsDontWait(t *testing.T) {
-	// A caller was refused and comes back when it is late already. If its prompt
-	// waited again it would go behind all that can be in time, until its caller leaves.
+	// A caller was rejected and retries when the call is already late. If its prompt waited
+	// again it would be queued behind all calls that can be in time, until its caller gives up.
 	engines := testEngines(17)
 	overdue := longCall
 	overdue.Age, overdue.Waited = 3*time.Second, 3*time.Second
 	if plan, found := Prompt(testProfile, engines, &overdue); !found {
-		t.Errorf("plan %+v: refused although all engines are idle", plan)
+		t.Errorf("plan %+v: rejected although all engines are idle", plan)
 	}
 	for i := range engines {
 		engines[i].Load = loadshare.Load{Streams: 1, Leading: 1, Reading: 500 * time.Millisecond}
 	}
 	if plan, found := Prompt(testProfile, engines, &overdue); found || plan.Wait > 0 {
-		t.Errorf("plan %+v (%t), want a refusal", plan, found)
+		t.Errorf("plan %+v (%t), want a rejection", plan, found)
 	}
 }
 
 func TestStreamsOfLongPromptsAreLeftAlone(t *testing.T) {
-	// A long prompt is read, and its stream is under way at one engine. If that one
-	// goes on to read the parts of others, the stream stands still for more than a
-	// second again and again.
+	// The prompt of a long call is prefilled, and its stream runs on one engine. If that engine
+	// went on to prefill parts of other prompts, the stream would stall for more than a second
+	// again and again.
 	engines := testEngines(18)
 	engines[3].Load = loadshare.Load{Streams: 1}
 	engines[4].Load = loadshare.Load{Streams: 1}
 	plan, found := Prompt(testProfile, engines, &longCall)
 	if !found || slices.Contains(plan.Helpers, 3) || slices.Contains(plan.Helpers, 4) {
-		t.Errorf("engines %v help engine %d (%t), 3 and 4 write streams", plan.Helpers, plan.Lead, found)
+		t.Errorf("engines %v help engine %d (%t), engines 3 and 4 run streams", plan.Helpers, plan.Lead, found)
 	}
 }
 
 func TestEnginesThatLeadAPromptHelpNobody(t *testing.T) {
-	// An engine reads its part of a prompt that it answers itself. What it helps with it
-	// reads first, so that with one part after the other its own caller never gets an
-	// answer. And one that helps as many as it can turns the whole call away.
+	// An engine prefills its part of a prompt that it leads. Parts that it helps with come
+	// first, so with one part after the other its own caller would never get an answer. An
+	// engine that helps as many prompts as it can rejects the whole call.
 	engines := testEngines(18)
-	engines[0].Load = loadshare.Load{Streams: 1, Tight: 1} // where such streams gather
+	engines[0].Load = loadshare.Load{Streams: 1, Tight: 1} // tight streams are packed onto it
 	engines[5].Load.Leading = 1
 	engines[6].Load.Helping = testProfile.Slots
 	for range 20 {
 		plan, found := Prompt(testProfile, engines, &tightLong)
 		if !found && plan.Wait > 0 {
 			for i := range engines {
-				engines[i].Load.Reading = 0 // all parts are read meanwhile
+				engines[i].Load.Reading = 0 // all parts have been prefilled meanwhile
 			}
 			plan, found = Prompt(testProfile, engines, &tightLong)
 		}
 		if !found || slices.Contains(plan.Helpers, 5) || slices.Contains(plan.Helpers, 6) {
-			t.Fatalf("engines %v help engine %d (%t), 5 leads a prompt, 6 helps many", plan.Helpers, plan.Lead, found)
+			t.Fatalf("engines %v help engine %d (%t), engine 5 leads a prompt, engine 6 helps many", plan.Helpers, plan.Lead, found)
 		}
 		for _, i := range plan.Helpers {
-			engines[i].Load.Reading += plan.Part // the next plan looks further
+			engines[i].Load.Reading += plan.Part // makes the next plan use other engines
 		}
 	}
 }
 
 func TestShortStreamsLeaveAFifthOfTheEngines(t *testing.T) {
-	// Many short streams run in a calm minute. Spread over all engines they are in time,
-	// until a long prompt comes and finds none to be read at.
+	// Many short streams run while there are no long prompts. Spread over all engines they are
+	// in time, but a long prompt that arrives then finds no free engine.
 	engines := testEngines(20)
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 140 {
@@ -447,9 +447,9 @@
 		call.Draw = [2]float64{random.Float64(), random.Float64()}
 		plan, found := Prompt(testProfile, engines, &call)
 		if !found {
-			t.Fatal("a short prompt was refused")
+			t.Fatal("a short prompt was rejected")
 		}
-		put(engines, &plan, &call)
+		addPlan(engines, &plan, &call)
 		engines[plan.Lead].Load.Reading, engines[plan.Lead].Load.Leading = 0, 0
 	}
 	without := 0
@@ -463,9 +463,9 @@
 	}
 }
 
-func TestPartsBesideShortStreamsAreNotFelt(t *testing.T) {
-	// Every engine has some short streams, which pause for 250 ms at most. Two parts in
-	// one pass are enough to make them late, and so is one that is read by few engines.
+func TestPartsDoNotDelayShortStreams(t *testing.T) {
+	// Every engine has some short streams with pauses of at most 250 ms. They become late if two
+	// parts fall into one pass, or if a part is so long because few engines share the prompt.
 	engines := testEngines(17)
 	for i := range engines {
 		engines[i].Load = loadshare.Load{Streams: 6, Tight: 6}
@@ -474,16 +474,16 @@
 	long.Prompt = 100_000
 	first, found := Prompt(testProfile, engines, &long)
 	if !found {
-		t.Fatalf("plan %+v: all engines together read it between two events of each", first)
+		t.Fatalf("plan %+v: rejected although all engines together can prefill it between two events of each stream", first)
 	}
-	pass := passOf(testProfile, 7)
+	pass := passTime(testProfile, 7)
 	if part := Reading(testProfile, long.Prompt) / time.Duration(1+len(first.Helpers)); part+pass > testProfile.LeastPause {
-		t.Errorf("%d engines read parts of %s, and a pass takes %s", 1+len(first.Helpers), part, pass)
+		t.Errorf("%d engines prefill parts of %s, and a pass takes %s", 1+len(first.Helpers), part, pass)
 	}
-	put(engines, &first, &long)
+	addPlan(engines, &first, &long)
 	part := Reading(testProfile, long.Prompt) / time.Duration(1+len(first.Helpers))
-	pass = passOf(testProfile, 6)
-	for _, passed := range []time.Duration{part / 2, part, part + pass - freeReading(testProfile) - time.Millisecond} {
+	pass = passTime(testProfile, 6)
+	for _, passed := range []time.Duration{part / 2, part, part + pass - maxFreePrefill(testProfile) - time.Millisecond} {
 		then := slices.Clone(engines)
 		for i := range then {
 			then[i].Load = then[i].Load.After(passed)
@@ -502,10 +502,10 @@
 }
 
 func TestLongPromptsWaitForEnginesBeforeTheyDoHarm(t *testing.T) {
-	// The mix has turned: each engine writes short streams, and most read a part of
-	// another prompt just now. Read by the few that are free, the next prompt makes
-	// their streams pause for a second; a moment later all are free and none feels it.
-	// When the time for the prompt gets short it is read all the same.
+	// After a change of the mix each engine runs short streams, and most prefill a part of
+	// another prompt. If the next prompt were prefilled by the few that are free, their streams
+	// would pause for a second; a moment later all engines are free and no stream is delayed.
+	// When the time of the prompt runs short it is prefilled anyway.
 	engines := testEngines(16)
 	for i := range engines {
 		engines[i].Load = loadshare.Load{Streams: 4, Tight: 4}
@@ -524,23 +524,23 @@
 		free[i].Load = free[i].Load.After(150 * time.Millisecond)
 	}
 	if plan, found = Prompt(testProfile, free, &long); !found || len(plan.Helpers) < 10 {
-		t.Errorf("plan %+v (%t), want it to be read by all", plan, found)
+		t.Errorf("plan %+v (%t), want all engines to prefill it", plan, found)
 	}
 	long.Waited = long.Objective / 2
 	if plan, found = Prompt(testProfile, engines, &long); !found || plan.FirstEvent > long.Objective/2 {
-		t.Errorf("plan %+v (%t), with half of its time left it waits on", plan, found)
+		t.Errorf("plan %+v (%t), want it to be placed with half of its time left", plan, found)
 	}
 }
 
 func TestHopelessCallsAreRefusedAtOnce(t *testing.T) {
-	// All engines have more to read than the caller will wait for. Held back, it
-	// would learn nothing until its deadline.
+	// All engines have more prefill queued than the caller will wait for. If the call were held
+	// back, the caller would learn of it only at its deadline.
 	engines := testEngines(3)
 	for i := range engines {
 		engines[i].Load = loadshare.Load{Streams: 3, Reading: 30 * time.Second}
 	}
 	if plan, found := Prompt(testProfile, engines, &longCall); found {
-		t.Errorf("planned: %+v", plan)
+		t.Errorf("accepted with plan %+v", plan)
 	}
 }
 
@@ -550,11 +550,11 @@
 		engines []Engine
 		want    int
 	}{
-		{"the least busy", []Engine{{Load: loadshare.Load{Streams: 3}, Near: true}, {Load: loadshare.Load{Streams: 1}}}, 1},
-		{"the near one of equals", []Engine{{}, {Near: true}}, 1},
-		{"not one that failed of late", []Engine{{Avoid: true, Near: true}, {Load: loadshare.Load{Streams: 6}}}, 1},
-		{"not the one that had it", []Engine{{Tried: true, Near: true}, {Avoid: true}}, 1},
-		{"the only one", []Engine{{Tried: true, Avoid: true}}, 0},
+		{"the least loaded", []Engine{{Load: loadshare.Load{Streams: 3}, Near: true}, {Load: loadshare.Load{Streams: 1}}}, 1},
+		{"of equal ones the one in the same zone", []Engine{{}, {Near: true}}, 1},
+		{"not one that failed recently", []Engine{{Avoid: true, Near: true}, {Load: loadshare.Load{Streams: 6}}}, 1},
+		{"not one that already received the call", []Engine{{Tried: true, Near: true}, {Avoid: true}}, 1},
+		{"the only one, although it failed", []Engine{{Tried: true, Avoid: true}}, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -564,13 +564,13 @@
 		})
 	}
 	if _, found := Service(nil, 0.5); found {
-		t.Error("chose one of none")
+		t.Error("chose an instance from an empty list")
 	}
 }
 
 func TestPlansAreSound(t *testing.T) {
-	// Whatever the loads are, an engine must not be named twice, helpers must not be
-	// more than engines take, and all parts together must make up the prompt.
+	// For any loads, a plan names no engine twice, has at most maxHelpers helpers, and its parts
+	// add up to the prompt.
 	rapid.Check(t, func(t *rapid.T) {
 		engines := testEngines(rapid.IntRange(0, 24).Draw(t, "engines"))
 		for i := range engines {
@@ -595,8 +595,8 @@
 			}
 			seen[i] = true
 		}
-		if len(plan.Helpers) > mostHelpers {
-			t.Fatalf("%d helpers", len(plan.Helpers))
+		if len(plan.Helpers) > maxHelpers {
+			t.Fatalf("%d helpers, more than the maximum", len(plan.Helpers))
 		}
 		whole := Reading(testProfile, call.Prompt)
 		if sum := plan.Part * time.Duration(len(seen)); sum < whole-time.Duration(len(seen)) || sum > whole {
@@ -605,7 +605,7 @@
 	})
 }
 
-// BenchmarkPrompt measures one placement.
+// BenchmarkPrompt measures the planning of one call.
 func BenchmarkPrompt(b *testing.B) {
 	for _, n := range []int{14, 78, 600} {
 		engines := testEngines(n)
--- a/placement/scale_test.go
+++ b/placement/scale_test.go
@@ -11,10 +11,10 @@
 	"celeryport/settings"
 )
 
-// stretch has all times of a fleet, of its routes and of its load some times as long.
-type stretch int
+// timeScale multiplies all durations of a fleet, of its routes and of its load.
+type timeScale int
 
-func (s stretch) profile(p settings.EngineProfile) *settings.EngineProfile {
+func (s timeScale) profile(p settings.EngineProfile) *settings.EngineProfile {
 	p.Step *= time.Duration(s)
 	p.StepPerWriter *= time.Duration(s)
 	p.StepPerContext *= time.Duration(s)
@@ -25,7 +25,7 @@
 	return &p
 }
 
-func (s stretch) engines(engines []Engine) []Engine {
+func (s timeScale) engines(engines []Engine) []Engine {
 	stretched := slices.Clone(engines)
 	for i := range stretched {
 		stretched[i].Load.Reading *= time.Duration(s)
@@ -33,27 +33,27 @@
 	return stretched
 }
 
-func (s stretch) call(call Call) *Call {
+func (s timeScale) call(call Call) *Call {
 	for _, t := range []*time.Duration{&call.Objective, &call.LongPause, &call.Left, &call.Waited, &call.Age, &call.Ahead} {
 		*t *= time.Duration(s)
 	}
 	return &call
 }
 
-// The engines of another customer are three times as slow, and its routes allow for
-// it. Limits that are fixed times fit one customer only: with all times three times as
-// long, one short prompt in eleven was refused by a fleet with room.
-func TestTheSameProblemHasTheSamePlan(t *testing.T) {
+// The engines of one customer are three times as slow as those of another, and its routes allow
+// for it. Limits that are fixed durations suit one of them only: with all durations multiplied
+// by three, a fleet with room rejected one short prompt in eleven.
+func TestPlansDoNotDependOnTheTimeScale(t *testing.T) {
 	base := *testProfile
-	base.Step, base.PairsPerM = 1312*time.Microsecond, 164*time.Microsecond // divisible without a rest
+	base.Step, base.PairsPerM = 1312*time.Microsecond, 164*time.Microsecond // divisible by the scales without remainder
 	random := rand.New(rand.NewPCG(1, 2))
 	for at := range 3000 {
 		engines, call := randomEngines(random), randomCall(random)
 		plan, found := Prompt(&base, engines, &call)
-		for _, s := range []stretch{2, 3, 10} {
+		for _, s := range []timeScale{2, 3, 10} {
 			other, otherFound := Prompt(s.profile(base), s.engines(engines), s.call(call))
 			if found != otherFound || summary(&plan) != summary(&other) {
-				t.Fatalf("case %d, times %d: %v %s, was %v %s; %+v", at, s, otherFound, summary(&other), found, summary(&plan), call)
+				t.Fatalf("case %d, scale %d: got %v %s, unscaled %v %s; %+v", at, s, otherFound, summary(&other), found, summary(&plan), call)
 			}
 		}
 	}
--- a/placement/service.go
+++ b/placement/service.go
@@ -1,11 +1,10 @@
 package placement
 
-// Service chooses the instance of a plain service with the least under way, and
-// among equals one of the own availability zone. The last return is false when
-// there is none.
+// Service chooses the instance of a plain service with the fewest calls in flight, and on a tie
+// one in the own availability zone. It returns false if there is none.
 //
-// It answers short calls of some milliseconds on few instances: a call that meets
-// a full instance waits for a whole other call, which takes most of its time.
+// It is meant for services with few instances and calls of some milliseconds: a call that
+// reaches a busy instance waits for a whole other call, which makes up most of its latency.
 func Service(engines []Engine, draw float64) (int, bool) {
 	best, bestCost := -1, 0.0
 	for i := range engines {
@@ -17,8 +16,8 @@
 	return best, best >= 0
 }
 
-// IdleService returns an instance of a plain service that has nothing under way, -1 if
-// there is none that may be taken.
+// IdleService returns an instance of a plain service that has no calls in flight, or -1 if no
+// usable one is idle.
 func IdleService(engines []Engine) int {
 	for i := range engines {
 		if e := &engines[i]; e.Load.Streams == 0 && !e.Avoid && !e.Tried && !e.HelpOnly {
@@ -29,10 +28,10 @@
 }
 
 const (
-	// farCost keeps a call in its zone as long as the instance there is at most one
-	// call busier; crossing a zone costs about a millisecond each way.
-	farCost = 0.9
-	// avoidCost and triedCost leave an instance as the last resort.
+	// crossZoneCost keeps a call in its zone as long as the instance there has at most one call
+	// more; crossing a zone costs about a millisecond each way.
+	crossZoneCost = 0.9
+	// avoidCost and triedCost make an instance the last resort.
 	avoidCost = 1e3
 	triedCost = 1e6
 )
@@ -40,7 +39,7 @@
 func serviceCost(e *Engine, at int, draw float64) float64 {
 	cost := float64(e.Load.Streams)
 	if !e.Near {
-		cost += farCost
+		cost += crossZoneCost
 	}
 	if e.Avoid {
 		cost += avoidCost
@@ -48,15 +47,16 @@
 	if e.Tried {
 		cost += triedCost
 	}
-	// Equal instances are taken in turn, so that a few calls don't all meet one.
-	return cost + tie(at, draw)
+	// The tie-break rotates between equal instances so that a few calls don't all go to one.
+	return cost + tieBreak(at, draw)
 }
 
-// tie returns a number below a tenth that differs with each draw.
-func tie(at int, draw float64) float64 {
+// tieBreak returns a number below 0.1 that depends on the index and the random draw.
+func tieBreak(at int, draw float64) float64 {
 	spread := draw + float64(at)*goldenRatio
 	return (spread - float64(int(spread))) / 10
 }
 
-// goldenRatio spreads consecutive numbers evenly over the unit interval.
+// goldenRatio, multiplied by consecutive integers, gives fractional parts that are spread evenly
+// over the unit interval.
 const goldenRatio = 0.6180339887498949
--- a/placement/spread.go
+++ b/placement/spread.go
@@ -7,61 +7,62 @@
 	"celeryport/settings"
 )
 
-// spread has a long prompt read in even parts by engines that read nothing else.
-// The time until its first event falls with their number, while the work stays the
-// same; but each tight stream beside a part that is not short is late from then on.
-// So it takes as many engines as cost least.
+// spread splits a long prompt into equal parts that are prefilled by engines with nothing else
+// to prefill. With more engines the first event comes earlier and the total work stays the same,
+// but each tight stream beside a part that is not short becomes late. So it uses the number of
+// engines with the least cost.
 //
-// Engines read the part that came last before the others. One that gets a second
-// part leaves the first one waiting, and with it a prompt that is read everywhere
-// else: under load, prompts are then read many times later than predicted, the oldest
-// last. So a prompt waits here until enough engines are free for parts that no stream
-// feels.
-// In the burst of long prompts after one of short ones each engine has some streams
-// with short pauses: all together read a usual long prompt between two events of each.
-// With harm allowed from the start, many such prompts are read by one engine alone,
-// whose streams stand still meanwhile. So only when its time gets short a prompt is read
-// at the cost of other streams.
+// Engines prefill the part that came last first. A second part on an engine delays the first
+// one, and with it a prompt whose other parts are prefilled elsewhere: under load, prompts then
+// take many times as long as predicted, the oldest ones longest. So a prompt waits here until
+// enough engines are free to prefill parts short enough not to delay any stream.
 //
-// With only engines without tight streams allowed, a few of these that meet a long
-// prompt keep their engines out for many seconds, since they hardly move on, and long
-// prompts find one engine where many could read them.
-func spread(p *settings.EngineProfile, engines []Engine, usable []int, call *Call, reading time.Duration) (Plan, bool) {
-	readers := readersOf(engines, usable)
-	limit := limitOf(call)
-	plan, found := spreadNow(p, engines, freeOf(p, engines, readers), call, reading)
+// In a burst of long prompts after one of short prompts, every engine has some tight streams;
+// all engines together can prefill a typical long prompt between two events of each stream. If
+// harm were allowed from the start, many such prompts would be prefilled by one engine alone,
+// whose streams would stall meanwhile. So a prompt is prefilled at the cost of other streams
+// only when its time runs short.
+//
+// If only engines without tight streams were allowed, a few tight streams would exclude the
+// engines on which they meet a long prompt for many seconds, because they hardly progress, and
+// long prompts would find one engine where many could prefill them.
+func spread(p *settings.EngineProfile, engines []Engine, usable []int, call *Call, prefill time.Duration) (Plan, bool) {
+	candidates := prefillOrder(engines, usable)
+	limit := firstEventLimit(call)
+	plan, found := spreadNow(p, engines, freeEngines(p, engines, candidates), call, prefill)
 	if found && plan.FirstEvent <= limit {
 		return plan, true
 	}
 	if Overdue(call) {
-		return Plan{FirstEvent: reading, Excess: call.Left}, false // it would wait behind all that can be in time
+		return Plan{FirstEvent: prefill, Excess: call.Left}, false // waiting would put it behind all calls that can still be in time
 	}
-	return later(p, engines, readers, call, reading, limit)
+	return planRetry(p, engines, candidates, call, prefill, limit)
 }
 
-// limitOf returns by when the first event of a long prompt has to come. A call that can't be
-// in time any more may come late if engines are free: its caller has waited in vain once.
-// It does not wait for them: calls that did were still waiting when their callers gave up.
-func limitOf(call *Call) time.Duration {
-	inTime := time.Duration(lateShare*float64(call.Objective)) - call.Waited
+// firstEventLimit returns the latest acceptable time to the first event of a long prompt. An
+// overdue call may be late if engines are free, because its caller has already waited in vain
+// once. It does not wait for engines to become free: calls that did were still waiting when
+// their callers gave up.
+func firstEventLimit(call *Call) time.Duration {
+	inTime := time.Duration(latestFraction*float64(call.Objective)) - call.Waited
 	if Overdue(call) {
-		return time.Duration(overdueShare * float64(call.Left))
+		return time.Duration(overdueLimitFraction * float64(call.Left))
 	}
 	return min(call.Left, inTime)
 }
 
-// Overdue reports whether a call can't be answered in time any more: it came back late
-// after a refusal, or the engine that it was sent to failed it.
+// Overdue reports whether a call can no longer be answered in time, because it was retried late
+// after a rejection or the engine that it was sent to failed.
 func Overdue(call *Call) bool {
-	return call.Age > share(overdueAge, call.Objective) || call.Waited >= share(lateShare, call.Objective)
+	return call.Age > fraction(overdueAgeFraction, call.Objective) || call.Waited >= fraction(latestFraction, call.Objective)
 }
 
 // spreadNow plans a long prompt on free engines.
-func spreadNow(p *settings.EngineProfile, engines []Engine, free []int, call *Call, reading time.Duration) (Plan, bool) {
-	most := min(len(free), mostHelpers+1, max(1, call.Prompt/leastPart(p)))
+func spreadNow(p *settings.EngineProfile, engines []Engine, free []int, call *Call, prefill time.Duration) (Plan, bool) {
+	most := min(len(free), maxHelpers+1, max(1, call.Prompt/minPartTokens(p)))
 	var best option
 	for k := 1; k <= most; k++ {
-		part := reading / time.Duration(k)
+		part := prefill / time.Duration(k)
 		plan, found := leadWithHelpers(p, engines, free, call, part, k)
 		if !found {
 			continue
@@ -69,7 +70,7 @@
 		if len(plan.Helpers) < k-1 {
 			break
 		}
-		if candidate := optionOf(p, engines, plan, call); best.plan.Part == 0 || candidate.cost < best.cost {
+		if candidate := newOption(p, engines, plan, call); best.plan.Part == 0 || candidate.cost < best.cost {
 			best = candidate
 		}
 	}
@@ -77,28 +78,28 @@
 		return Plan{}, false
 	}
 	plan := best.plan
-	plan.FirstEvent = plan.Part + 2*passOf(p, engines[plan.Lead].Load.Streams+1)
-	plan.Apart = apart(p, engines, &plan)
-	return plan, best.harm <= bearable(call)
+	plan.FirstEvent = plan.Part + 2*passTime(p, engines[plan.Lead].Load.Streams+1)
+	plan.Apart = partSpacing(p, engines, &plan)
+	return plan, best.harm <= tolerableHarm(call)
 }
 
-// later finds out when enough engines will have read what they have for a prompt
-// to be read by the limit. Without such a moment the call is hopeless.
-func later(p *settings.EngineProfile, engines []Engine, readers []int, call *Call, reading, limit time.Duration) (Plan, bool) {
-	ends := make([]time.Duration, 0, len(readers))
-	for _, i := range readers {
+// planRetry computes when enough engines will have finished their queued prefill for the prompt
+// to be prefilled within the limit. If there is no such time, the call is infeasible.
+func planRetry(p *settings.EngineProfile, engines []Engine, candidates []int, call *Call, prefill, limit time.Duration) (Plan, bool) {
+	ends := make([]time.Duration, 0, len(candidates))
+	for _, i := range candidates {
 		ends = append(ends, engines[i].Load.Reading+call.Ahead)
 	}
 	slices.Sort(ends)
-	plan := Plan{Part: reading, FirstEvent: soonestOf(ends) + reading}
+	plan := Plan{Part: prefill, FirstEvent: earliestEnd(ends) + prefill}
 	for at, end := range ends {
-		readers := min(at+1, mostHelpers+1)
-		first := end + reading/time.Duration(readers) + 2*passOf(p, 1)
+		candidates := min(at+1, maxHelpers+1)
+		first := end + prefill/time.Duration(candidates) + 2*passTime(p, 1)
 		if first < plan.FirstEvent {
-			plan.Part, plan.FirstEvent = reading/time.Duration(readers), first
+			plan.Part, plan.FirstEvent = prefill/time.Duration(candidates), first
 		}
 		if first <= limit {
-			plan.Wait = max(leastWait, end)
+			plan.Wait = max(minWait, end)
 			return plan, false
 		}
 	}
@@ -106,7 +107,7 @@
 	return plan, false
 }
 
-func soonestOf(ends []time.Duration) time.Duration {
+func earliestEnd(ends []time.Duration) time.Duration {
 	if len(ends) == 0 {
 		return 0
 	}
@@ -114,16 +115,15 @@
 }
 
 const (
-	// overdueAge is the part of the objective after which a call that comes back is
-	// overdue: what is left is seldom enough for the queue and the reading. Chosen, no
-	// other value was tried.
-	overdueAge = 0.6
-	// overdueShare is the part of its time by which an overdue call has to be planned;
-	// the rest is for its stream. Chosen, no other value was tried.
-	overdueShare = 0.5
-	// leastWait is the least pause before a waiting prompt is planned again, about as
-	// long as it takes until the others have heard of a change.
-	leastWait = 10 * time.Millisecond
-	// answerValue is what a token of the answer is worth in tokens of the prompt.
-	answerValue = 10
+	// overdueAgeFraction is the fraction of the objective after which a retried call is overdue:
+	// the remaining time is rarely enough for the queue and the prefill.
+	overdueAgeFraction = 0.6
+	// overdueLimitFraction is the fraction of its remaining time within which the first event of
+	// an overdue call has to be planned; the rest is for its stream.
+	overdueLimitFraction = 0.5
+	// minWait is the minimum time before a waiting prompt is planned again, about as long as it
+	// takes until the other instances learn of a change.
+	minWait = 10 * time.Millisecond
+	// answerTokenValue is the value of an answer token in prompt tokens.
+	answerTokenValue = 10
 )
