--- a/arbiter/doc.go
+++ b/arbiter/doc.go
@@ -1,11 +1,11 @@
-// Package arbiter has one instance decide for the long prompts of all. Long prompts
-// are few, and each takes many engines for a second or more. Instances that
-// place them on their own hear of each other a moment late: prompts that wait see
-// the same engines become free and take them at the same moment, and an engine that
-// gets two parts leaves the first one waiting. One that decides for all knows at
-// once what it gave away, and which of those that wait are worth most.
+// Package arbiter places the long prompts of a whole fleet on one instance. Long prompts are
+// few, and each occupies many engines for a second or more. Instances that place them
+// independently learn of each other's placements with a delay: waiting prompts see the same
+// engines become free and occupy them at the same moment, and on an engine that gets two parts
+// the first one is delayed. A central arbiter knows its own placements at once and can order the
+// waiting prompts by value.
 //
-// The package is free of input and output: it is given what is asked and known, and
-// returns the answers. Nothing in it outlives the instance: whoever asks keeps
-// asking until it has an answer, and asks another instance when none comes.
+// The package does no I/O: the caller passes in requests and the state of the engines and gets
+// the answers. No state outlives the instance: a requester repeats its request until it gets an
+// answer, and turns to another instance if none comes.
 package arbiter
--- a/arbiter/message.go
+++ b/arbiter/message.go
@@ -11,11 +11,11 @@
 	"celeryport/placement"
 )
 
-// Ask is a prompt that needs a place. It is sent again and again until the answer
-// comes; Left and Waited are those of each time, of this try alone.
+// Ask is a request to place a prompt. It is sent again and again until the answer arrives; Left
+// and Waited are as of each transmission and count for this attempt alone.
 type Ask struct {
-	ID        string          `json:"id"`               // of the call and the try
-	Before    string          `json:"before,omitempty"` // ID of the call's ask whose place came to nothing
+	ID        string          `json:"id"`               // of the call and the attempt
+	Before    string          `json:"before,omitempty"` // ID of the call's earlier request whose placement could not be used
 	Service   string          `json:"service"`
 	Prompt    int             `json:"prompt"`
 	Answer    int             `json:"answer"`
@@ -23,9 +23,9 @@
 	LongPause time.Duration   `json:"long_pause"`
 	Left      time.Duration   `json:"left"`
 	Waited    time.Duration   `json:"waited"`
-	PromptID  uint64          `json:"prompt_id,omitempty"` // the same for all tries of a caller with one prompt
-	Tried     []loadshare.Key `json:"tried,omitempty"`     // engines that may not be used for it
-	Leads     []loadshare.Key `json:"leads,omitempty"`     // engines that may lead it; none: any
+	PromptID  uint64          `json:"prompt_id,omitempty"` // the same for all attempts of a caller with one prompt
+	Tried     []loadshare.Key `json:"tried,omitempty"`     // engines that must not be used for it
+	Leads     []loadshare.Key `json:"leads,omitempty"`     // engines that may lead it; empty: any
 	Refused   []loadshare.Key `json:"refused,omitempty"`   // engines that refused to help with it
 }
 
@@ -34,54 +34,54 @@
 	return len(a.Leads) == 0 || slices.Contains(a.Leads, key)
 }
 
-// Decision is what became of an ask.
+// Decision is the outcome of a request.
 type Decision byte
 
 const (
-	// Waiting says that the ask was heard, and that it waits for engines.
+	// Waiting means that the request was received and waits for engines.
 	Waiting Decision = iota
-	// Placed gives it a place.
+	// Placed means that the request was placed.
 	Placed
-	// Hopeless says that no place comes in time.
+	// Hopeless means that the prompt can't be placed in time.
 	Hopeless
-	// Unknown says that this instance knows no engines of the service.
+	// Unknown means that this instance knows no engines of the service.
 	Unknown
 )
 
-// Answer is what the arbiter says to an ask.
+// Answer is the arbiter's reply to a request.
 type Answer struct {
 	ID         string          `json:"id"`
 	Decision   Decision        `json:"decision"`
 	Lead       loadshare.Key   `json:"lead,omitempty"`
 	Helpers    []loadshare.Key `json:"helpers,omitempty"`
 	Reserved   []Reserved      `json:"reserved,omitempty"`
-	Part       time.Duration   `json:"part,omitempty"` // for which each of these engines counts as reading
+	Part       time.Duration   `json:"part,omitempty"` // how long each of these engines counts as busy with prefill
 	FirstEvent time.Duration   `json:"first_event,omitempty"`
 	Excess     time.Duration   `json:"excess,omitempty"`
-	Age        time.Duration   `json:"age,omitempty"` // of the prompt when it came, if it was refused before
+	Age        time.Duration   `json:"age,omitempty"` // age of the prompt on arrival, if it was rejected before
 	Seen       placement.Seen  `json:"seen"`
 }
 
-// Reserved is memory that a prompt needs at a helper.
+// Reserved is memory reserved on a helper for a part of a prompt.
 type Reserved struct {
 	Engine loadshare.Key `json:"engine"`
 	Tokens int           `json:"tokens"`
 }
 
-// DecodeAsk reads the content of a datagram.
+// DecodeAsk decodes the payload of a datagram.
 func DecodeAsk(data []byte) (*Ask, error) {
 	var a Ask
 	if err := json.Unmarshal(data, &a); err != nil {
-		return nil, errors.Wrap(err, "decode an ask")
+		return nil, errors.Wrap(err, "decode placement request")
 	}
 	return &a, nil
 }
 
-// DecodeAnswer reads the content of a datagram.
+// DecodeAnswer decodes the payload of a datagram.
 func DecodeAnswer(data []byte) (*Answer, error) {
 	var a Answer
 	if err := json.Unmarshal(data, &a); err != nil {
-		return nil, errors.Wrap(err, "decode an answer")
+		return nil, errors.Wrap(err, "decode placement answer")
 	}
 	return &a, nil
 }
--- a/arbiter/queue.go
+++ b/arbiter/queue.go
@@ -10,31 +10,30 @@
 	"celeryport/settings"
 )
 
-// Fleet is what the arbiter knows of the engines of one service.
+// Fleet is the arbiter's view of the engines of one service.
 type Fleet struct {
 	Profile *settings.EngineProfile
 	Keys    []loadshare.Key
 	Engines []placement.Engine
 }
 
-// World gives the arbiter its knowledge and takes what it gave away.
+// World supplies the state of the engines to the arbiter and records its placements.
 type World interface {
-	// Fleet returns the engines of a service, nil if the service is not known.
+	// Fleet returns the engines of a service, or nil if the service is unknown.
 	Fleet(service string) *Fleet
-	// Granted notes that a prompt was given a place, until the one who asked tells of
-	// it itself.
+	// Granted records a placement, until the requester reports its load itself.
 	Granted(ask *Ask, answer *Answer)
 }
 
-// waiting is an ask that has no place yet.
-type waiting struct {
-	ask     *Ask
-	heardAt time.Time
-	reading time.Duration // on one engine
-	age     time.Duration // of the prompt when this try came, if an earlier one was refused
+// pending is a request without a final answer.
+type pending struct {
+	ask        *Ask
+	receivedAt time.Time
+	prefill    time.Duration // prefill time on one engine
+	age        time.Duration // age of the prompt on arrival of this attempt, if an earlier one was rejected
 }
 
-func (w *waiting) overdue() bool {
+func (w *pending) overdue() bool {
 	return placement.Overdue(&placement.Call{Age: w.age, Waited: w.age + w.ask.Waited, Objective: w.ask.Objective})
 }
 
@@ -50,120 +49,120 @@
 	}
 }
 
-// settled is an answer that may be lost on its way.
-type settled struct {
+// answered is a sent answer, kept because it may get lost.
+type answered struct {
 	answer *Answer
 	at     time.Time
 }
 
-// Queue holds the asks that wait. It is not safe for concurrent use.
+// Queue holds the pending requests. It is not safe for concurrent use.
 type Queue struct {
-	waiting  map[string]*waiting
-	settled  map[string]settled
-	returned returned
+	pending  map[string]*pending
+	answered map[string]answered
+	refusals refusals
 }
 
 const (
-	// askForgotten is how long after its last word an ask counts as given up. It is
-	// repeated three times as often.
-	askForgotten = 200 * time.Millisecond
-	// answerKept is how long an answer is repeated to the same ask.
-	answerKept = time.Second
+	// requestTTL is how long after its last transmission a request counts as abandoned.
+	// Requesters repeat it three times in that period.
+	requestTTL = 200 * time.Millisecond
+	// answerTTL is how long an answer is repeated to the same request.
+	answerTTL = time.Second
 )
 
 // NewQueue returns an empty queue.
 func NewQueue() *Queue {
-	return &Queue{waiting: map[string]*waiting{}, settled: map[string]settled{}, returned: returned{}}
+	return &Queue{pending: map[string]*pending{}, answered: map[string]answered{}, refusals: refusals{}}
 }
 
-// Waits reports whether any ask has no answer yet.
-func (q *Queue) Waits() bool { return len(q.waiting) > 0 }
+// Waits reports whether any request is pending.
+func (q *Queue) Waits() bool { return len(q.pending) > 0 }
 
-// Take takes in an ask and returns the answer if it has one already.
+// Take adds or refreshes a request. If it was answered already, the answer is returned.
 func (q *Queue) Take(now time.Time, ask *Ask) *Answer {
-	if s, found := q.settled[ask.ID]; found {
+	if s, found := q.answered[ask.ID]; found {
 		return s.answer
 	}
-	q.waiting[ask.ID] = &waiting{ask: ask, heardAt: now, age: q.returned.age(now.Add(-ask.Waited), ask.PromptID)}
+	q.pending[ask.ID] = &pending{ask: ask, receivedAt: now, age: q.refusals.age(now.Add(-ask.Waited), ask.PromptID)}
 	return nil
 }
 
-// Step decides for those that wait and returns the answers.
-func (q *Queue) Step(now time.Time, world World) []*Answer {
-	q.forget(now)
+// Step decides on the pending requests and returns the answers.
+func (q *Queue) Step(now time.Time, source World) []*Answer {
+	q.expire(now)
 	var answers []*Answer
 	fleets := map[string]*Fleet{}
 	ahead := map[string]time.Duration{}
-	for _, w := range q.order(world, fleets) {
+	for _, w := range q.sortPending(source, fleets) {
 		fleet := fleets[w.ask.Service]
 		if fleet == nil || len(fleet.Engines) == 0 {
-			answers = append(answers, q.settle(now, &Answer{ID: w.ask.ID, Decision: Unknown}))
+			answers = append(answers, q.recordAnswer(now, &Answer{ID: w.ask.ID, Decision: Unknown}))
 			continue
 		}
 		answer := decide(now, w, fleet, ahead[w.ask.Service])
 		if answer.Decision == Waiting {
-			ahead[w.ask.Service] += w.reading / time.Duration(max(1, len(fleet.Engines)))
+			ahead[w.ask.Service] += w.prefill / time.Duration(max(1, len(fleet.Engines)))
 			continue
 		}
 		if answer.Decision == Placed {
-			fleet.note(answer, w.ask)
-			world.Granted(w.ask, answer)
+			fleet.record(answer, w.ask)
+			source.Granted(w.ask, answer)
 		}
 		if answer.Decision == Hopeless {
-			q.returned.note(now.Add(-w.ask.Waited-w.age), w.ask.PromptID)
+			q.refusals.record(now.Add(-w.ask.Waited-w.age), w.ask.PromptID)
 		}
-		answers = append(answers, q.settle(now, answer))
+		answers = append(answers, q.recordAnswer(now, answer))
 	}
 	return answers
 }
 
-// order lists the asks that wait, those with the least to read first: what a prompt
-// is worth grows with its length, and the reading with the square of it. While more
-// comes than the engines can read, that serves the most. Those that are late anyhow
-// come last.
-func (q *Queue) order(world World, fleets map[string]*Fleet) []*waiting {
-	list := make([]*waiting, 0, len(q.waiting))
-	for _, w := range q.waiting {
+// sortPending returns the pending requests, those with the shortest prefill first: the value of
+// a prompt grows linearly with its length, but the prefill grows with the square of it. So this
+// order serves the most value if more prompts arrive than the engines can prefill. Overdue
+// prompts come last.
+func (q *Queue) sortPending(source World, fleets map[string]*Fleet) []*pending {
+	list := make([]*pending, 0, len(q.pending))
+	for _, w := range q.pending {
 		fleet, known := fleets[w.ask.Service]
 		if !known {
-			fleet = world.Fleet(w.ask.Service)
+			fleet = source.Fleet(w.ask.Service)
 			fleets[w.ask.Service] = fleet
 		}
 		if fleet != nil {
-			w.reading = placement.Reading(fleet.Profile, w.ask.Prompt)
+			w.prefill = placement.Reading(fleet.Profile, w.ask.Prompt)
 		}
 		list = append(list, w)
 	}
-	slices.SortFunc(list, func(a, b *waiting) int {
-		return cmp.Or(compareBool(a.overdue(), b.overdue()), cmp.Compare(a.reading, b.reading), cmp.Compare(a.ask.ID, b.ask.ID))
+	slices.SortFunc(list, func(a, b *pending) int {
+		return cmp.Or(compareBool(a.overdue(), b.overdue()), cmp.Compare(a.prefill, b.prefill), cmp.Compare(a.ask.ID, b.ask.ID))
 	})
 	return list
 }
 
-func (q *Queue) forget(now time.Time) {
-	for id, w := range q.waiting {
-		if now.Sub(w.heardAt) > askForgotten {
-			delete(q.waiting, id)
+func (q *Queue) expire(now time.Time) {
+	for id, w := range q.pending {
+		if now.Sub(w.receivedAt) > requestTTL {
+			delete(q.pending, id)
 		}
 	}
-	for id, s := range q.settled {
-		if now.Sub(s.at) > answerKept {
-			delete(q.settled, id)
+	for id, s := range q.answered {
+		if now.Sub(s.at) > answerTTL {
+			delete(q.answered, id)
 		}
 	}
-	q.returned.forget(now)
+	q.refusals.expire(now)
 }
 
-func (q *Queue) settle(now time.Time, answer *Answer) *Answer {
-	delete(q.waiting, answer.ID)
-	q.settled[answer.ID] = settled{answer: answer, at: now}
+func (q *Queue) recordAnswer(now time.Time, answer *Answer) *Answer {
+	delete(q.pending, answer.ID)
+	q.answered[answer.ID] = answered{answer: answer, at: now}
 	return answer
 }
 
-// decide plans one ask. Those that come before it in the order and still wait read
-// for as long as ahead at each engine.
-func decide(now time.Time, w *waiting, fleet *Fleet, ahead time.Duration) *Answer {
-	since := now.Sub(w.heardAt)
+// decide plans one request. The requests before it in the order that still wait take up the
+// given prefill time (ahead) on each engine.
+func decide(now time.Time, w *pending, fleet *Fleet, ahead time.Duration) *Answer {
+	since := now.Sub(w.receivedAt)
 	call := &placement.Call{
 		Prompt:    w.ask.Prompt,
 		Answer:    w.ask.Answer,
@@ -198,17 +197,17 @@
 	return answer
 }
 
-// note adds a prompt that was given a place to the loads.
-func (f *Fleet) note(answer *Answer, ask *Ask) {
+// record adds a placed prompt to the loads of the engines.
+func (f *Fleet) record(answer *Answer, ask *Ask) {
 	for key, load := range answer.Loads(f.Profile, ask) {
 		at := slices.Index(f.Keys, key)
-		reading := f.Engines[at].Load.Reading + load.Reading
+		prefill := f.Engines[at].Load.Reading + load.Reading
 		f.Engines[at].Load = f.Engines[at].Load.Add(load)
-		f.Engines[at].Load.Reading = reading
+		f.Engines[at].Load.Reading = prefill
 	}
 }
 
-// Loads returns what a placed prompt loads its engines with.
+// Loads returns the load that a placed prompt adds to each of its engines.
 func (a *Answer) Loads(p *settings.EngineProfile, ask *Ask) map[loadshare.Key]loadshare.Load {
 	loads := map[loadshare.Key]loadshare.Load{}
 	lead := loadshare.Load{Streams: 1, Leading: 1, Reading: a.Part, Held: ask.Prompt + ask.Answer}
--- a/arbiter/queue_test.go
+++ b/arbiter/queue_test.go
@@ -12,14 +12,14 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// world is a fleet of equal engines whose loads the test sets.
-type world struct {
+// fakeFleets is a fleet of equal engines with loads set by the test.
+type fakeFleets struct {
 	loads   map[loadshare.Key]loadshare.Load
 	engines int
 	granted int
 }
 
-func (w *world) Fleet(service string) *Fleet {
+func (w *fakeFleets) Fleet(service string) *Fleet {
 	if service != "model" {
 		return nil
 	}
@@ -35,9 +35,9 @@
 	return fleet
 }
 
-func (w *world) Granted(*Ask, *Answer) { w.granted++ }
+func (w *fakeFleets) Granted(*Ask, *Answer) { w.granted++ }
 
-func askFor(id string, prompt int) *Ask {
+func newRequest(id string, prompt int) *Ask {
 	return &Ask{
 		ID: id, Service: "model", Prompt: prompt, Answer: 600,
 		Objective: 4 * time.Second, LongPause: time.Second, Left: 15 * time.Second,
@@ -45,21 +45,21 @@
 }
 
 func TestWaitingPromptsDontTakeTheSameEngines(t *testing.T) {
-	// Two instances have a long prompt each, and both see the same engines become
-	// free. Deciding alone, both take them at the same moment: the prompt that came
-	// first is then read last, and its caller gets a late answer.
-	queue, w := NewQueue(), &world{engines: 18}
-	queue.Take(start, askFor("a", 300_000))
-	queue.Take(start, askFor("b", 310_000))
+	// Two instances have a long prompt each, and both see the same engines become free. If they
+	// decided independently, both would occupy these at the same moment: the prompt that came
+	// first would be prefilled last, and its first event would be late.
+	queue, w := NewQueue(), &fakeFleets{engines: 18}
+	queue.Take(start, newRequest("a", 300_000))
+	queue.Take(start, newRequest("b", 310_000))
 	answers := queue.Step(start, w)
 	used := map[loadshare.Key]string{}
 	for _, answer := range answers {
 		if answer.Decision != Placed {
-			t.Errorf("%s was refused", answer.ID)
+			t.Errorf("%s was rejected", answer.ID)
 		}
 		for _, key := range append(answer.Helpers, answer.Lead) {
 			if used[key] != "" {
-				t.Errorf("engine %d reads for %s and for %s", key, used[key], answer.ID)
+				t.Errorf("engine %d prefills for %s and for %s", key, used[key], answer.ID)
 			}
 			used[key] = answer.ID
 		}
@@ -70,11 +70,11 @@
 }
 
 func TestShorterPromptsGoFirst(t *testing.T) {
-	// More long prompts wait than can be read in time. Read in order of arrival, one
-	// of 600,000 tokens takes the time of a dozen of 150,000, and all are late.
-	queue, w := NewQueue(), &world{engines: 17}
-	queue.Take(start, askFor("a", 600_000))
-	queue.Take(start, askFor("b", 150_000))
+	// More long prompts wait than can be prefilled in time. In order of arrival, one of 600,000
+	// tokens would take the time of a dozen of 150,000, and all would be late.
+	queue, w := NewQueue(), &fakeFleets{engines: 17}
+	queue.Take(start, newRequest("a", 600_000))
+	queue.Take(start, newRequest("b", 150_000))
 	answers := queue.Step(start, w)
 	if len(answers) == 0 || answers[0].ID != "b" || answers[0].Decision != Placed {
 		t.Fatalf("answers %+v, want the short one placed first", answers)
@@ -82,26 +82,26 @@
 }
 
 func TestHopelessPromptsAreAnsweredAtOnce(t *testing.T) {
-	// All engines have more to read than the objective allows. A caller that is told
-	// nothing until then could have come back in time.
-	queue, w := NewQueue(), &world{engines: 4, loads: map[loadshare.Key]loadshare.Load{}}
+	// All engines have more prefill queued than the objective allows. A caller that gets no
+	// answer until then could have retried in time.
+	queue, w := NewQueue(), &fakeFleets{engines: 4, loads: map[loadshare.Key]loadshare.Load{}}
 	for key := loadshare.Key(1); key <= 4; key++ {
 		w.loads[key] = loadshare.Load{Leading: 1, Reading: 6 * time.Second}
 	}
-	queue.Take(start, askFor("a", 300_000))
+	queue.Take(start, newRequest("a", 300_000))
 	answers := queue.Step(start, w)
 	if len(answers) != 1 || answers[0].Decision != Hopeless || answers[0].Excess <= 0 {
-		t.Errorf("answers %+v, want a refusal with the time that is missing", answers)
+		t.Errorf("answers %+v, want a rejection with the excess time", answers)
 	}
 }
 
 func TestManyWaitingPromptsMakeOthersHopeless(t *testing.T) {
-	// A burst brings ten times what can be read in the objective. Looking at the
-	// engines alone, each of the prompts seems to be next; they are refused only
-	// when their time is over, and their callers have no time left to come back.
-	queue, w := NewQueue(), &world{engines: 17}
+	// A burst brings ten times what can be prefilled within the objective. Judged by the
+	// engines' load alone, each of the prompts would seem to be next; they would be rejected
+	// only when their time is over, and their callers would have no time left to retry.
+	queue, w := NewQueue(), &fakeFleets{engines: 17}
 	for i := range 100 {
-		queue.Take(start, askFor(fmt.Sprintf("%03d", i), 300_000))
+		queue.Take(start, newRequest(fmt.Sprintf("%03d", i), 300_000))
 	}
 	hopeless := 0
 	for _, answer := range queue.Step(start, w) {
@@ -110,61 +110,61 @@
 		}
 	}
 	if hopeless < 70 {
-		t.Errorf("%d of 100 are reported at once that they won't be read in time, at most 10 can be", hopeless)
+		t.Errorf("%d of 100 are rejected at once, at most 10 can be prefilled in time", hopeless)
 	}
 }
 
 func TestLostAnswersAreRepeated(t *testing.T) {
-	// The datagram with the answer is lost. The engines are given away already; a
-	// second place for the same prompt would keep others from it.
-	queue, w := NewQueue(), &world{engines: 17}
-	queue.Take(start, askFor("a", 150_000))
+	// The datagram with the answer is lost, but the engines are already allocated. A second
+	// placement of the same prompt would keep other prompts from engines.
+	queue, w := NewQueue(), &fakeFleets{engines: 17}
+	queue.Take(start, newRequest("a", 150_000))
 	first := queue.Step(start, w)
-	again := queue.Take(start.Add(40*time.Millisecond), askFor("a", 150_000))
+	again := queue.Take(start.Add(40*time.Millisecond), newRequest("a", 150_000))
 	if len(first) != 1 || again != first[0] || w.granted != 1 {
 		t.Errorf("answered %+v, then %+v, granted %d times", first, again, w.granted)
 	}
 }
 
-func TestAskersThatAreGoneAreForgotten(t *testing.T) {
-	// An instance dies, or its caller leaves, while a prompt waits. Engines given to it
-	// would read nothing while others wait.
-	queue, w := NewQueue(), &world{engines: 4, loads: map[loadshare.Key]loadshare.Load{}}
+func TestRequestsOfGoneInstancesExpire(t *testing.T) {
+	// An instance dies, or its caller disconnects, while a prompt waits. Engines allocated to it
+	// would be idle while other prompts wait.
+	queue, w := NewQueue(), &fakeFleets{engines: 4, loads: map[loadshare.Key]loadshare.Load{}}
 	for key := loadshare.Key(1); key <= 4; key++ {
 		w.loads[key] = loadshare.Load{Leading: 1, Reading: time.Second}
 	}
-	queue.Take(start, askFor("a", 60_000))
+	queue.Take(start, newRequest("a", 60_000))
 	if answers := queue.Step(start, w); len(answers) > 0 {
 		t.Fatalf("answered %+v, want it to wait", answers)
 	}
 	w.loads = nil
-	if answers := queue.Step(start.Add(askForgotten+time.Millisecond), w); len(answers) > 0 || queue.Waits() {
+	if answers := queue.Step(start.Add(requestTTL+time.Millisecond), w); len(answers) > 0 || queue.Waits() {
 		t.Errorf("answered %+v, waiting: %t", answers, queue.Waits())
 	}
 }
 
 func TestUnknownServicesAreNotDecided(t *testing.T) {
-	// The arbiter has older settings than the one who asks, without the service. Held
-	// or refused, the call would fail although the one who asks could place it.
-	queue, w := NewQueue(), &world{engines: 4}
-	ask := askFor("a", 150_000)
+	// The arbiter has older settings than the requester, without the service. If the call were
+	// held or rejected it would fail although the requester could place it.
+	queue, w := NewQueue(), &fakeFleets{engines: 4}
+	ask := newRequest("a", 150_000)
 	ask.Service = "other"
 	queue.Take(start, ask)
 	if answers := queue.Step(start, w); len(answers) != 1 || answers[0].Decision != Unknown {
 		t.Errorf("answers %+v", answers)
 	}
-	// It has just started, and no engine has announced itself there.
+	// The arbiter has just started, and no engine has announced itself to it.
 	w.engines = 0
-	queue.Take(start, askFor("b", 150_000))
+	queue.Take(start, newRequest("b", 150_000))
 	if answers := queue.Step(start, w); len(answers) != 1 || answers[0].Decision != Unknown {
 		t.Errorf("without engines: answers %+v", answers)
 	}
 }
 
-// Guards against leading a call by one more engine than its route allows.
+// Guards against placing a call on more lead engines than its route allows.
 func TestOnlyEnginesThatHadTheCallLeadIt(t *testing.T) {
-	queue, w := NewQueue(), &world{engines: 18}
-	ask := askFor("a", 300_000)
+	queue, w := NewQueue(), &fakeFleets{engines: 18}
+	ask := newRequest("a", 300_000)
 	ask.Leads = []loadshare.Key{17}
 	queue.Take(start, ask)
 	answers := queue.Step(start, w)
--- a/arbiter/refusals_test.go
+++ b/arbiter/refusals_test.go
@@ -6,18 +6,18 @@
 )
 
 func TestPromptThatComesBackIsRecognised(t *testing.T) {
-	// A long prompt is refused and its caller comes back, by another instance and
-	// with a new call id. Taken for a new one it gets the whole objective once more and
-	// waits for engines, although its answer is late already and its caller leaves soon.
-	queue, w := NewQueue(), &world{engines: 1}
-	first := askFor("front-1/call-1/0", 600_000)
+	// A long prompt is rejected and its caller retries, through another instance and with a new
+	// call ID. If it counted as new it would get the whole objective once more and wait for
+	// engines, although its answer is already late and its caller gives up soon.
+	queue, w := NewQueue(), &fakeFleets{engines: 1}
+	first := newRequest("front-1/call-1/0", 600_000)
 	first.PromptID, first.Waited = 77, 100*time.Millisecond
 	queue.Take(start, first)
 	answers := queue.Step(start, w)
 	if len(answers) != 1 || answers[0].Decision != Hopeless || answers[0].Age != 0 {
 		t.Fatalf("answers %+v", answers)
 	}
-	again := askFor("front-2/call-2/0", 600_000)
+	again := newRequest("front-2/call-2/0", 600_000)
 	again.PromptID, again.Left = 77, 13*time.Second
 	queue.Take(start.Add(1500*time.Millisecond), again)
 	answers = queue.Step(start.Add(1500*time.Millisecond), w)
@@ -27,28 +27,28 @@
 }
 
 func TestNewPromptsHaveNoAge(t *testing.T) {
-	// Other callers' prompts, and those that can't be told apart, come after a refusal.
-	// With an age that is not theirs they would be refused as late on arrival.
-	queue, w := NewQueue(), &world{engines: 1}
+	// After a rejection, prompts of other callers and prompts without an ID arrive. If they were
+	// given the age of the rejected one they would be rejected as late on arrival.
+	queue, w := NewQueue(), &fakeFleets{engines: 1}
 	for i, id := range []uint64{77, 0} {
-		refused := askFor("refused", 600_000)
+		refused := newRequest("refused", 600_000)
 		refused.PromptID = id
-		at := start.Add(time.Duration(i) * 2 * answerKept)
+		at := start.Add(time.Duration(i) * 2 * answerTTL)
 		queue.Take(at, refused)
 		queue.Step(at, w)
 	}
 	for _, id := range []uint64{78, 0} {
-		fresh := askFor("fresh", 10_000)
+		fresh := newRequest("fresh", 10_000)
 		fresh.PromptID = id
 		queue.Take(start.Add(5*time.Second), fresh)
 		answers := queue.Step(start.Add(5*time.Second), w)
 		if len(answers) != 1 || answers[0].Age != 0 {
 			t.Errorf("prompt %d: answers %+v", id, answers)
 		}
-		delete(queue.settled, "fresh")
+		delete(queue.answered, "fresh")
 	}
-	queue.Step(start.Add(returnKept+time.Minute), w)
-	if len(queue.returned) != 0 {
-		t.Errorf("%d refusals are remembered for ever", len(queue.returned))
+	queue.Step(start.Add(refusalTTL+time.Minute), w)
+	if len(queue.refusals) != 0 {
+		t.Errorf("%d refusals are never removed", len(queue.refusals))
 	}
 }
