--- a/admission/account.go
+++ b/admission/account.go
@@ -6,23 +6,23 @@
 	"celeryport/quota"
 )
 
-// Account is what one instance keeps of one organisation: its weight and usage,
-// its part of the fleet-wide limits, and its retry budget.
+// Account is one instance's state of one organisation: its weight and usage, this instance's
+// part of the fleet-wide limits, and the retry budget.
 type Account struct {
 	Name   string
 	Weight float64
 	Budget Budget
 
-	Usage    Usage   // tokens that this instance sent to upstreams, decayed
-	others   float64 // the same of the other instances, at othersAt
-	othersAt time.Time
+	Usage        Usage   // tokens that this instance sent to upstreams, with decay
+	otherUsage   float64 // usage of the other instances, as of otherUsageAt
+	otherUsageAt time.Time
 
 	InFlight       int
 	InFlightTokens int
 	Waiting        int
 	WaitingTokens  int
 	SpanTokens     int
-	OverdueSpans   int // tokens of the spans that waited long
+	OverdueSpans   int // tokens of the spans that have waited long
 
 	limits  limits
 	offered Rate
@@ -30,7 +30,7 @@
 	fleet   fleetView
 }
 
-// fleetView is what the last grant said of the fleet, less this instance's part.
+// fleetView is the fleet-wide state in the last grant, without this instance's part.
 type fleetView struct {
 	until         time.Time
 	waitingTokens int
@@ -39,27 +39,27 @@
 	mix           quota.Mix
 }
 
-// NewAccount returns the account of an organisation that nothing is known of.
+// NewAccount returns the account of an organisation without any history.
 func NewAccount(name string) *Account {
 	return &Account{Name: name, Weight: 1, Budget: NewBudget()}
 }
 
-// Offered counts the tokens of a request that was offered, admitted or not.
+// Offered counts the tokens of an incoming request, whether admitted or not.
 func (a *Account) Offered(now time.Time, tokens int) { a.offered.Add(now, float64(tokens)) }
 
-// Share is the decayed usage over the fleet divided by the weight. The
-// organisation with the least share goes first.
+// Share returns the decayed fleet-wide usage divided by the weight. The organisation with the
+// smallest share goes first.
 func (a *Account) Share(now time.Time) float64 {
-	used := a.Usage.At(now) + a.others*decay(now.Sub(a.othersAt))
+	used := a.Usage.At(now) + a.otherUsage*decay(now.Sub(a.otherUsageAt))
 	return used / max(a.Weight, minWeight)
 }
 
-// minWeight keeps a weight of zero from dividing by zero: such an organisation
-// gets what the others leave.
+// minWeight avoids a division by a weight of zero: such an organisation gets what the others
+// leave.
 const minWeight = 1e-6
 
-// FleetWaitingTokens is the estimate of the organisation's queued long prompts,
-// in tokens, over all instances.
+// FleetWaitingTokens estimates the tokens of the organisation's queued long prompts over all
+// instances.
 func (a *Account) FleetWaitingTokens(now time.Time) int {
 	if now.After(a.fleet.until) {
 		return a.WaitingTokens
@@ -67,8 +67,7 @@
 	return a.WaitingTokens + a.fleet.waitingTokens
 }
 
-// FleetOverdueSpans is the tokens of the spans that waited long, over all
-// instances.
+// FleetOverdueSpans returns the tokens of the spans that have waited long, over all instances.
 func (a *Account) FleetOverdueSpans(now time.Time) int {
 	if now.After(a.fleet.until) {
 		return a.OverdueSpans
@@ -76,10 +75,10 @@
 	return a.OverdueSpans + a.fleet.overdueSpans
 }
 
-// Prompted counts the tokens of an offered prompt in the mix.
+// Prompted adds the tokens of an incoming prompt to the mix.
 func (a *Account) Prompted(now time.Time, tokens quota.Mix) { a.mix.Add(now, tokens) }
 
-// Mix is the offered mix over the whole fleet, as far as is known.
+// Mix returns the incoming mix of the whole fleet, as far as known.
 func (a *Account) Mix(now time.Time) quota.Mix {
 	if now.After(a.fleet.until) {
 		return a.mix.At(now)
@@ -87,8 +86,8 @@
 	return a.fleet.mix
 }
 
-// FleetWaitsElsewhere says whether requests of the organisation wait in other
-// instances, for a span or for the long lane.
+// FleetWaitsElsewhere reports whether requests of the organisation wait on other instances, for
+// a span or for the long lane.
 func (a *Account) FleetWaitsElsewhere(now time.Time, span bool) bool {
 	if now.After(a.fleet.until) {
 		return false
@@ -99,11 +98,11 @@
 	return a.fleet.waitingTokens > a.fleet.spanTokens
 }
 
-// Granted installs a grant. Its lease started when the demand was sent.
+// Granted applies a grant. Its lease started when the demand was sent.
 func (a *Account) Granted(now time.Time, g quota.Grant) {
-	a.limits.granted(now, g)
-	a.others = max(0, g.FleetUsage-a.Usage.stated)
-	a.othersAt = now
+	a.limits.applyGrant(now, g)
+	a.otherUsage = max(0, g.FleetUsage-a.Usage.lastDemand)
+	a.otherUsageAt = now
 	a.fleet = fleetView{
 		until:         now.Add(g.Lease),
 		waitingTokens: max(0, g.FleetWaitingTokens-a.WaitingTokens),
@@ -113,17 +112,17 @@
 	}
 }
 
-// Demand returns the statement for the next heartbeat.
+// Demand returns the demand for the next heartbeat.
 func (a *Account) Demand(now time.Time) quota.Demand {
-	a.Usage.stated = a.Usage.At(now)
-	a.limits.stated = now
+	a.Usage.lastDemand = a.Usage.At(now)
+	a.limits.lastDemand = now
 	return quota.Demand{
 		Organisation:           a.Name,
 		TokensPerSecond:        a.offered.PerSecond(now),
 		InFlight:               a.InFlight,
 		InFlightTokens:         a.InFlightTokens,
 		Waiting:                a.Waiting,
-		Usage:                  a.Usage.stated,
+		Usage:                  a.Usage.lastDemand,
 		WaitingTokens:          a.WaitingTokens,
 		SpanTokens:             a.SpanTokens,
 		Mix:                    a.mix.At(now),
--- a/admission/bucket.go
+++ b/admission/bucket.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// burst is how much of a rate limit may be saved up while nothing comes.
+// burst is how much unused capacity of a rate limit accumulates.
 const burst = time.Second
 
-// bucket is a token bucket that may go into debt: one prompt may be larger than
-// a second's worth of the limit, and then the debt keeps the mean at the limit.
+// bucket is a token bucket that may go into debt: one prompt may be larger than a second's worth
+// of the limit, and the debt then keeps the mean rate at the limit.
 type bucket struct {
-	rate  float64 // tokens a second
+	rate  float64 // tokens per second
 	level float64
 	at    time.Time
 }
@@ -34,8 +34,8 @@
 	return b.level > 0
 }
 
-// opensIn is the time until the debt is paid.
-func (b *bucket) opensIn(now time.Time) time.Duration {
+// timeToOpen returns the time until the debt is paid off.
+func (b *bucket) timeToOpen(now time.Time) time.Duration {
 	b.fill(now)
 	if b.rate <= 0 {
 		return grantRetry
--- a/admission/mix_rate.go
+++ b/admission/mix_rate.go
@@ -7,17 +7,17 @@
 	"celeryport/quota"
 )
 
-// mixWindow is the time constant of a measured mix. Long prompts are few, so a
-// short window would make the lane grow and shrink with each of them.
+// mixWindow is the time constant of a measured mix. Long prompts are few, so with a short window
+// the long lane would grow and shrink with each of them.
 const mixWindow = time.Minute
 
-// MixRate measures a mix.
+// MixRate measures a mix as an exponentially decaying rate.
 type MixRate struct {
 	value quota.Mix
 	at    time.Time
 }
 
-// Add counts tokens.
+// Add counts prompt tokens.
 func (r *MixRate) Add(now time.Time, tokens quota.Mix) {
 	r.value = r.At(now).Plus(tokens.Times(1 / mixWindow.Seconds()))
 	r.at = now
--- a/admission/organisation_queue.go
+++ b/admission/organisation_queue.go
@@ -1,20 +1,21 @@
 package admission
 
-// line holds the waiting tickets of one organisation as a binary heap by order.
-type line struct {
+// organisationQueue holds the waiting tickets of one organisation as a binary heap, sorted by
+// Ticket.before.
+type organisationQueue struct {
 	account *Account
 	tickets []*Ticket
 	tokens  int
 }
 
-func (l *line) push(t *Ticket) {
+func (l *organisationQueue) push(t *Ticket) {
 	l.tickets = append(l.tickets, t)
 	t.index = len(l.tickets)
 	l.tokens += t.Request.PromptTokens
 	l.up(len(l.tickets) - 1)
 }
 
-func (l *line) remove(t *Ticket) {
+func (l *organisationQueue) remove(t *Ticket) {
 	i := t.index - 1
 	last := len(l.tickets) - 1
 	l.swap(i, last)
@@ -28,13 +29,13 @@
 	}
 }
 
-func (l *line) swap(i, j int) {
+func (l *organisationQueue) swap(i, j int) {
 	l.tickets[i], l.tickets[j] = l.tickets[j], l.tickets[i]
 	l.tickets[i].index = i + 1
 	l.tickets[j].index = j + 1
 }
 
-func (l *line) up(i int) {
+func (l *organisationQueue) up(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if !l.tickets[i].before(l.tickets[parent]) {
@@ -45,7 +46,7 @@
 	}
 }
 
-func (l *line) down(i int) {
+func (l *organisationQueue) down(i int) {
 	for {
 		child := 2*i + 1
 		if child >= len(l.tickets) {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Queue holds the waiting requests of one lane. Between organisations the one
-// with the least usage for its weight goes first while the fleet is contended, so
-// shares are fair on tokens and an idle fleet refuses nobody; otherwise, and
-// within an organisation, the order of tickets holds.
+// Queue holds the waiting requests of one lane. While the fleet is contended, the organisation
+// with the smallest usage relative to its weight goes first, so that tokens are shared fairly
+// and an idle fleet rejects nobody. Otherwise, and within an organisation, the order of the
+// tickets applies.
 type Queue struct {
-	lines  map[*Account]*line
-	active []*line // lines with tickets
+	queues map[*Account]*organisationQueue
+	active []*organisationQueue // queues with tickets
 	count  int
 	tokens int
 }
 
 // NewQueue returns an empty queue.
-func NewQueue() *Queue { return &Queue{lines: map[*Account]*line{}} }
+func NewQueue() *Queue { return &Queue{queues: map[*Account]*organisationQueue{}} }
 
-// Len is the number of waiting requests.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.count }
 
-// Tokens is the sum of their prompt tokens.
+// Tokens returns the sum of their prompt tokens.
 func (q *Queue) Tokens() int { return q.tokens }
 
-// Push adds a ticket at its place.
+// Push adds a ticket.
 func (q *Queue) Push(t *Ticket) {
-	l := q.lines[t.Account]
+	l := q.queues[t.Account]
 	if l == nil {
-		l = &line{account: t.Account}
-		q.lines[t.Account] = l
+		l = &organisationQueue{account: t.Account}
+		q.queues[t.Account] = l
 	}
 	if len(l.tickets) == 0 {
 		q.active = append(q.active, l)
@@ -45,9 +45,9 @@
 	}
 }
 
-// Remove takes a ticket out, wherever it is.
+// Remove removes a ticket from any position.
 func (q *Queue) Remove(t *Ticket) {
-	l := q.lines[t.Account]
+	l := q.queues[t.Account]
 	l.remove(t)
 	if len(l.tickets) == 0 {
 		q.deactivate(l)
@@ -64,7 +64,7 @@
 	}
 }
 
-func (q *Queue) deactivate(l *line) {
+func (q *Queue) deactivate(l *organisationQueue) {
 	for i, other := range q.active {
 		if other == l {
 			q.active[i] = q.active[len(q.active)-1]
@@ -74,19 +74,19 @@
 	}
 }
 
-// Heads appends the first ticket of each organisation to buffer: with byShare the
-// one with the least share first, else in order of arrival.
+// Heads appends the first ticket of each organisation to buffer: with byShare sorted by
+// ascending share, otherwise in ticket order.
 func (q *Queue) Heads(now time.Time, byShare bool, buffer []*Ticket) []*Ticket {
 	for _, l := range q.active {
 		buffer = append(buffer, l.tickets[0])
-		for i := len(buffer) - 1; i > 0 && goesFirst(now, byShare, buffer[i], buffer[i-1]); i-- {
+		for i := len(buffer) - 1; i > 0 && precedes(now, byShare, buffer[i], buffer[i-1]); i-- {
 			buffer[i], buffer[i-1] = buffer[i-1], buffer[i]
 		}
 	}
 	return buffer
 }
 
-func goesFirst(now time.Time, byShare bool, t, o *Ticket) bool {
+func precedes(now time.Time, byShare bool, t, o *Ticket) bool {
 	if !byShare {
 		return t.before(o)
 	}
@@ -97,7 +97,7 @@
 	return a < b
 }
 
-// All appends every waiting ticket to buffer, in no order.
+// All appends all waiting tickets to buffer, in no particular order.
 func (q *Queue) All(buffer []*Ticket) []*Ticket {
 	for _, l := range q.active {
 		buffer = append(buffer, l.tickets...)
@@ -105,7 +105,7 @@
 	return buffer
 }
 
-// WaitingWeight is the sum of the weights of the organisations that wait.
+// WaitingWeight returns the sum of the weights of the organisations with waiting requests.
 func (q *Queue) WaitingWeight() float64 {
 	total := 0.0
 	for _, l := range q.active {
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -18,9 +18,9 @@
 	return &Ticket{Request: r, Account: a, Order: Order(r)}
 }
 
-// A stream of urgent requests of one organisation never ends. A request of low
-// priority that is always overtaken would wait until its deadline; the caller of
-// an audit would be refused after minutes although the fleet served others.
+// A continuous stream of urgent requests of one organisation arrives. A request of low priority
+// that is always overtaken would wait until its deadline: the caller of the audit would be
+// rejected after minutes although the fleet served others.
 func TestAgingBoundsHowLongARequestIsOvertaken(t *testing.T) {
 	q, a := NewQueue(), NewAccount("a")
 	audit := ticket(a, "audit", start, 0)
@@ -37,11 +37,11 @@
 			return
 		}
 	}
-	t.Fatal("the audit starved")
+	t.Fatal("the audit was never served")
 }
 
-// Tickets come and go in any order. If the heap lost its order after the removal
-// of one in the middle, an audit would be overtaken by later ones.
+// Tickets are added and removed in any order. If the removal of one in the middle broke the heap
+// order, an audit would be overtaken by later requests.
 func TestQueueKeepsArrivalOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, a := NewQueue(), NewAccount("a")
@@ -82,20 +82,20 @@
 	large.Usage.Add(start, 2000)
 	small.Usage.Add(start, 1000)
 	if first := q.Heads(start, true, nil)[0]; first.Account != large {
-		t.Fatalf("%s goes first, with 1000 tokens for a weight of 1 against 2000 for 3", first.Account.Name)
+		t.Fatalf("%s goes first, with 1000 tokens and a weight of 1 against 2000 tokens and a weight of 3", first.Account.Name)
 	}
 	if first := q.Heads(start, false, nil)[0]; first.Account != small {
-		t.Fatal("not in order of arrival while the fleet is not contended")
+		t.Fatal("want order of arrival while the fleet is not contended")
 	}
-	// What other instances sent counts as well.
+	// The usage of other instances counts as well.
 	large.Granted(start, quota.Grant{FleetUsage: 9000, Lease: time.Minute})
 	if first := q.Heads(start, true, nil)[0]; first.Account != small {
-		t.Fatal("usage in other instances does not count")
+		t.Fatal("usage of other instances does not count")
 	}
 }
 
-// The control group is gone, so grants lapse. If a limited organisation could go
-// on without a grant, losing control would lift every limit.
+// The control group is unavailable, so grants expire. If a limited organisation could continue
+// without a grant, losing the control group would lift every limit.
 func TestALapsedGrantAdmitsNothingOfALimitedOrganisation(t *testing.T) {
 	a := NewAccount("a")
 	a.Configure(1, 0.1, 1000, 2)
@@ -106,7 +106,7 @@
 	}
 	within, after := a.Within(start.Add(4*time.Second), 10)
 	if within || after <= 0 {
-		t.Fatalf("admitted %v after the lease, come back in %v", within, after)
+		t.Fatalf("admitted %v after the lease, retry in %v", within, after)
 	}
 }
 
--- a/admission/rate.go
+++ b/admission/rate.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Rate is an exponentially weighted rate a second. Its window is the time
-// constant; zero means defaultRateWindow.
+// Rate is an exponentially weighted rate per second. Its window is the time constant; zero means
+// defaultRateWindow.
 type Rate struct {
 	Window time.Duration
 	value  float64
 	at     time.Time
 }
 
-// defaultRateWindow covers several heartbeats of demands.
+// defaultRateWindow spans several heartbeats.
 const defaultRateWindow = 4 * time.Second
 
 func (r *Rate) window() time.Duration {
--- a/admission/ticket.go
+++ b/admission/ticket.go
@@ -10,25 +10,25 @@
 type Ticket struct {
 	Request *request.Request
 	Account *Account
-	Order   time.Time // place in the queue of the organisation, smaller goes first
+	Order   time.Time // sort key in the queue of the organisation, smaller goes first
 	Span    bool      // needs the memory of several engines
-	Value   any       // of the owner
-	index   int       // in the heap, from 1; 0: not queued
+	Value   any       // set by the owner
+	index   int       // position in the heap plus one; 0: not queued
 }
 
-// Queued says whether the ticket is in a queue.
+// Queued reports whether the ticket is in a queue.
 func (t *Ticket) Queued() bool { return t.index > 0 }
 
-// AgingStep is how much waiting time makes up for one level of priority. Orders
-// are fixed at arrival, so a waiting request is overtaken only by requests that
-// arrived less than (difference of priority) * AgingStep after it: none starves.
+// AgingStep is the waiting time that makes up for one level of priority. The order is fixed on
+// arrival, so a waiting request is overtaken only by requests that arrive less than (difference
+// of priority) * AgingStep after it, and none starves.
 const AgingStep = 2 * time.Second
 
-// maxPriorityLead bounds how many levels count.
+// maxPriorityLead limits the priority levels that count.
 const maxPriorityLead = 10
 
-// Order returns the place of a request. It depends on the request alone, so a
-// request that comes back after a failed attempt gets its old place again.
+// Order returns the sort key of a request. It depends on the request alone, so a request that is
+// queued again after a failed attempt gets its former position.
 func Order(r *request.Request) time.Time {
 	lead := min(max(r.Priority, -maxPriorityLead), maxPriorityLead)
 	return r.Arrival.Add(-time.Duration(lead) * AgingStep)
