--- a/quota/allocate.go
+++ b/quota/allocate.go
@@ -5,33 +5,31 @@
 	"time"
 )
 
-// DefaultLease is how long a grant holds after its demand was sent. It spans
-// several heartbeats, so that one lost exchange changes nothing.
+// DefaultLease is how long a grant is valid after its demand was sent. It spans several
+// heartbeats, so that the loss of one exchange has no effect.
 const DefaultLease = 3 * time.Second
 
-// Allocate divides the limits between the instances. The sum of what all
-// instances may act on never exceeds a limit, also while answers are under way
-// or lost: a part that one instance may still use is never given to another, so
-// a part is first taken back (a smaller grant), and given away only in a later
-// call, when the holder's statement no longer has it. The caller keeps the
-// grants of each instance as Outstanding until a newer statement confirms them
-// or their lease has run out.
+// Allocate divides the limits between the instances. The sum of what all instances may use never
+// exceeds a limit, even while answers are in flight or lost: a part that one instance may still
+// use is never granted to another. So a part is first reduced by a smaller grant and is granted
+// to another instance only in a later call, when the holder's statement no longer contains it.
+// The caller keeps the grants of each instance as Outstanding until a newer statement confirms
+// them or their lease has expired.
 func Allocate(limits []Limit, statements []Statement) []InstanceGrants {
 	out := make([]InstanceGrants, len(statements))
 	for i := range statements {
 		out[i].Instance = statements[i].Instance
 	}
-	ranks := ranksOf(statements)
+	ranks := ranksByName(statements)
 	for _, o := range organisations(limits, statements) {
 		o.grant(out, ranks)
 	}
 	return out
 }
 
-// ranksOf returns the place of each instance in the order of names. All instances
-// learn their places from one allocation, so they can spread evenly over nodes
-// without a message of their own.
-func ranksOf(statements []Statement) []int {
+// ranksByName returns the rank of each instance when sorted by name. All instances get their
+// ranks from one allocation, so they can spread evenly over nodes without exchanging messages.
+func ranksByName(statements []Statement) []int {
 	ranks := make([]int, len(statements))
 	for i := range statements {
 		for k := range statements {
@@ -43,11 +41,11 @@
 	return ranks
 }
 
-// organisation gathers what the statements say of one organisation.
+// organisation collects the demands and grants of one organisation.
 type organisation struct {
 	limit   Limit
-	demands []Demand // one for each instance
-	held    []Grant  // what each instance may act on
+	demands []Demand // by instance
+	held    []Grant  // by instance: what it may still use
 }
 
 func organisations(limits []Limit, statements []Statement) []*organisation {
@@ -69,10 +67,10 @@
 		for _, d := range statements[i].Demands {
 			o := get(d.Organisation)
 			o.demands[i] = d
-			o.held[i].raise(d.GrantedInFlight, d.GrantedTokensPerSecond)
+			o.held[i].raiseTo(d.GrantedInFlight, d.GrantedTokensPerSecond)
 		}
 		for _, g := range statements[i].Outstanding {
-			get(g.Organisation).held[i].raise(g.InFlight, g.TokensPerSecond)
+			get(g.Organisation).held[i].raiseTo(g.InFlight, g.TokensPerSecond)
 		}
 	}
 	all := make([]*organisation, 0, len(byName))
@@ -85,7 +83,7 @@
 	return all
 }
 
-func (g *Grant) raise(inFlight int, rate float64) {
+func (g *Grant) raiseTo(inFlight int, rate float64) {
 	g.InFlight = max(g.InFlight, inFlight)
 	g.TokensPerSecond = max(g.TokensPerSecond, rate)
 }
@@ -112,7 +110,7 @@
 	}
 }
 
-// rates divides the limit on tokens a second by demand.
+// rates divides the limit on tokens per second by demand.
 func (o *organisation) rates() []float64 {
 	want := make([]float64, len(o.demands))
 	held := make([]float64, len(o.demands))
@@ -123,8 +121,8 @@
 	return divide(o.limit.TokensPerSecond, want, held)
 }
 
-// slots divides the limit on requests in flight. What an instance already has
-// in flight counts as wanted, for it can't be taken back.
+// slots divides the limit on requests in flight. Requests that an instance already has in flight
+// count as demand, because they can't be revoked.
 func (o *organisation) slots() []int {
 	want := make([]float64, len(o.demands))
 	held := make([]float64, len(o.demands))
@@ -133,5 +131,5 @@
 		held[i] = float64(max(o.held[i].InFlight, d.InFlight))
 	}
 	parts := divide(float64(o.limit.InFlight), want, held)
-	return whole(parts, o.limit.InFlight)
+	return roundToLimit(parts, o.limit.InFlight)
 }
--- a/quota/allocate_test.go
+++ b/quota/allocate_test.go
@@ -9,17 +9,16 @@
 
 const org = "bottega"
 
-// holder is an instance that acts on the last grant that reached it.
+// holder is an instance that uses the last grant that it received.
 type holder struct {
 	granted  Grant
 	inFlight int
 	sent     []Grant // by the allocator, not yet confirmed by a statement
 }
 
-// A limit is divided between instances whose answers get lost or come late. If a
-// part that one instance may still use were given to another one, an
-// organisation with a limit of twelve would have more than twelve requests in
-// flight, and its contract with the operators would not hold.
+// A limit is divided between instances, and answers to them get lost or are delayed. If a part
+// that one instance may still use were granted to another, an organisation with a limit of
+// twelve could have more than twelve requests in flight.
 func TestTheSumOfWhatInstancesMayUseNeverExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{Organisation: org, InFlight: rapid.IntRange(1, 40).Draw(t, "limit"), TokensPerSecond: 1000}
@@ -67,10 +66,10 @@
 		rate += h.granted.TokensPerSecond
 	}
 	if inFlight > limit.InFlight {
-		t.Fatalf("%d may be in flight, the limit is %d", inFlight, limit.InFlight)
+		t.Fatalf("%d requests may be in flight, the limit is %d", inFlight, limit.InFlight)
 	}
 	if rate > limit.TokensPerSecond*1.000001 {
-		t.Fatalf("%v tokens a second are granted, the limit is %v", rate, limit.TokensPerSecond)
+		t.Fatalf("%v tokens per second are granted, the limit is %v", rate, limit.TokensPerSecond)
 	}
 }
 
--- a/quota/divide.go
+++ b/quota/divide.go
@@ -2,10 +2,9 @@
 
 import "math"
 
-// divide gives each instance its max-min fair part of the limit by what it
-// wants, and an equal part of what nobody wants, so that the first request at a
-// quiet instance need not wait for a heartbeat. An instance gets more than it
-// holds only out of what no instance holds.
+// divide gives each instance its max-min fair part of the limit by demand, and an equal part of
+// what is left over, so that the first request at an idle instance need not wait for a
+// heartbeat. An instance gets more than it holds only from what no instance holds.
 func divide(limit float64, want, held []float64) []float64 {
 	parts := make([]float64, len(want))
 	if limit <= 0 || len(want) == 0 {
@@ -30,8 +29,8 @@
 	return parts
 }
 
-// waterFill returns the max-min fair division of the limit: nobody gets more
-// than it wants, and who gets less than it wants gets as much as any other.
+// waterFill returns the max-min fair division of the limit: no instance gets more than it wants,
+// and all instances that get less than they want get the same.
 func waterFill(limit float64, want []float64) []float64 {
 	parts := make([]float64, len(want))
 	left := limit
@@ -57,9 +56,9 @@
 	return parts
 }
 
-// whole rounds the parts down and gives the left-over units to the largest
-// remainders, as long as the sum stays within the limit.
-func whole(parts []float64, limit int) []int {
+// roundToLimit rounds the parts down and gives the remaining units to the largest remainders, as
+// long as the sum stays within the limit.
+func roundToLimit(parts []float64, limit int) []int {
 	const slack = 1e-6
 	units := make([]int, len(parts))
 	left := min(limit, int(math.Floor(sum(parts)+slack)))
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,43 +1,43 @@
-// Package quota divides fleet-wide limits and shares between the instances
-// without a message per request: instances state their demand with each
-// heartbeat and get grants that lapse by themselves.
+// Package quota divides fleet-wide limits and shares between the instances without a message per
+// request: instances report their demand with each heartbeat and get grants that expire by
+// themselves.
 package quota
 
 import "time"
 
-// Demand is what one instance saw of one organisation since its last statement.
+// Demand is one instance's demand for one organisation since its last statement.
 type Demand struct {
 	Organisation    string  `json:"organisation"`
-	TokensPerSecond float64 `json:"tokens_per_second"` // offered, admitted or not
+	TokensPerSecond float64 `json:"tokens_per_second"` // incoming, whether admitted or not
 	InFlight        int     `json:"in_flight"`         // requests admitted and not finished
 	InFlightTokens  int     `json:"in_flight_tokens"`  // prompt tokens admitted and not finished
-	Waiting         int     `json:"waiting"`           // requests queued
+	Waiting         int     `json:"waiting"`           // queued requests
 
-	Usage         float64 `json:"usage,omitempty"`          // tokens sent to upstreams, decayed, see admission.Usage
-	WaitingTokens int     `json:"waiting_tokens,omitempty"` // prompt tokens of the long requests queued
-	SpanTokens    int     `json:"span_tokens,omitempty"`    // of these, of prompts that need a span
+	Usage         float64 `json:"usage,omitempty"`          // tokens sent to upstreams with decay, see admission.Usage
+	WaitingTokens int     `json:"waiting_tokens,omitempty"` // prompt tokens of the queued long requests
+	SpanTokens    int     `json:"span_tokens,omitempty"`    // of WaitingTokens, those of prompts that need a span
 
-	OverdueSpanTokens int `json:"overdue_span_tokens,omitempty"` // of SpanTokens, those that waited long
+	OverdueSpanTokens int `json:"overdue_span_tokens,omitempty"` // of SpanTokens, those that have waited long
 
-	Mix Mix `json:"mix"` // prompt tokens a second offered, over a minute
+	Mix Mix `json:"mix"` // incoming prompt tokens per second, over a minute
 
-	// Granted limits that this instance still acts on. They keep an allocator
-	// that has just started from granting the same part twice.
+	// Granted limits that this instance may still use. They keep an allocator that has just
+	// started from granting the same part twice.
 	GrantedInFlight        int     `json:"granted_in_flight,omitempty"`
 	GrantedTokensPerSecond float64 `json:"granted_tokens_per_second,omitempty"`
 }
 
-// Grant is one instance's part of an organisation's limits, and what the whole
-// fleet holds for it. Limits apply only where the settings have them.
+// Grant is one instance's part of an organisation's limits, with the fleet-wide totals of the
+// organisation. Limits apply only where the settings define them.
 type Grant struct {
 	Organisation        string        `json:"organisation"`
-	Rank                int           `json:"rank"`  // of the instance among those that stated a demand, by name
-	Peers               int           `json:"peers"` // how many those are
+	Rank                int           `json:"rank"`  // of the instance among those that reported a demand, sorted by name
+	Peers               int           `json:"peers"` // number of these instances
 	TokensPerSecond     float64       `json:"tokens_per_second"`
 	InFlight            int           `json:"in_flight"`
 	FleetInFlightTokens int           `json:"fleet_in_flight_tokens"`
-	FleetDemand         float64       `json:"fleet_demand"` // tokens a second offered over all instances
-	Lease               time.Duration `json:"lease"`        // valid for so long after the demand was sent
+	FleetDemand         float64       `json:"fleet_demand"` // incoming tokens per second over all instances
+	Lease               time.Duration `json:"lease"`        // validity, from when the demand was sent
 
 	FleetUsage         float64 `json:"fleet_usage,omitempty"`          // sum of the instances' Usage
 	FleetWaitingTokens int     `json:"fleet_waiting_tokens,omitempty"` // sum of WaitingTokens
