--- a/planner/bound.go
+++ b/planner/bound.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Call is one call of which an answer in time is owed.
+// Call is a call that has an objective.
 type Call struct {
-	Arrived   time.Duration // since the begin of the span that is looked at
-	Objective time.Duration // from its arrival
-	Need      float64       // seconds of one engine
-	Value     float64       // of an answer in time, in any unit
+	Arrived   time.Duration // since the start of the period under review
+	Objective time.Duration // time allowed from its arrival
+	Need      float64       // engine seconds
+	Value     float64       // value of an answer in time, in any unit
 }
 
-// Capacity is the engine time of a span, in seconds of one engine for each slot.
+// Capacity is the available engine time of a period, in engine seconds for each time slot.
 type Capacity struct {
 	Slot  time.Duration
 	Slots []float64
 }
 
-// Reachable returns for each call the part of it that the best plan serves in time, from
-// 0 to 1. The calls that are worth most for each second of an engine go first; each gets as
-// much as the slots between its arrival and its objective have left beside those before it.
-// Greedy is optimal here, since the amounts that fit form a polymatroid.
+// Reachable returns for each call the fraction of it, from 0 to 1, that an optimal plan serves
+// in time. Calls with the most value per engine second go first; each gets as much as the calls
+// before it have left in the time slots between its arrival and its objective. The greedy order
+// is optimal here, because the feasible amounts form a polymatroid.
 func Reachable(calls []Call, capacity Capacity) []float64 {
 	parts := make([]float64, len(calls))
 	if len(capacity.Slots) == 0 {
@@ -54,7 +54,8 @@
 	return max(0, min(len(c.Slots)-1, int(at/c.Slot)))
 }
 
-// spans holds for each span of slots how much more of the calls that lie within it fits.
+// spans holds the remaining capacity of each contiguous range of time slots for calls that lie
+// within it.
 type spans struct {
 	left [][]float64 // by first slot, then by last slot
 }
@@ -72,8 +73,8 @@
 	return s
 }
 
-// take takes as much of an amount as fits between two slots, the last one included: what
-// is taken lies within each span that contains them.
+// take allocates as much of an amount as fits between two slots, both included, and deducts it
+// from each range that contains them.
 func (s *spans) take(from, to int, amount float64) float64 {
 	for first := 0; first <= from; first++ {
 		for _, left := range s.left[first][to:] {
--- a/planner/bound_test.go
+++ b/planner/bound_test.go
@@ -25,24 +25,24 @@
 		want     []float64
 	}{
 		{"all fit", []Call{{0, seconds(0.9), 1, 1}, {0, seconds(0.9), 1, 1}}, even(1, 2), []float64{1, 1}},
-		{"the denser one first", []Call{{0, 0, 2, 2}, {0, 0, 1, 3}}, even(1, 2), []float64{0.5, 1}},
-		{"one that can wait leaves room", []Call{{0, seconds(1.5), 2, 9}, {0, 0, 2, 1}}, even(2, 2), []float64{1, 1}},
-		{"one that can't wait goes first in value", []Call{{0, seconds(1.5), 4, 1}, {seconds(1), 0, 2, 9}}, even(2, 2), []float64{0.5, 1}},
-		{"engines that are lost", []Call{{0, seconds(2.5), 3, 1}}, Capacity{time.Second, []float64{1, 0, 1}}, []float64{2. / 3}},
-		{"nothing needed", []Call{{0, 0, 0, 1}}, even(1, 0), []float64{1}},
+		{"more value per engine second goes first", []Call{{0, 0, 2, 2}, {0, 0, 1, 3}}, even(1, 2), []float64{0.5, 1}},
+		{"a call with a late objective leaves capacity", []Call{{0, seconds(1.5), 2, 9}, {0, 0, 2, 1}}, even(2, 2), []float64{1, 1}},
+		{"an urgent call of high value goes first", []Call{{0, seconds(1.5), 4, 1}, {seconds(1), 0, 2, 9}}, even(2, 2), []float64{0.5, 1}},
+		{"no engines in one slot", []Call{{0, seconds(2.5), 3, 1}}, Capacity{time.Second, []float64{1, 0, 1}}, []float64{2. / 3}},
+		{"no engine time needed", []Call{{0, 0, 0, 1}}, even(1, 0), []float64{1}},
 		{"after the end", []Call{{seconds(9), 0, 1, 1}}, even(2, 1), []float64{1}},
-		{"no span", []Call{{0, 0, 1, 1}}, Capacity{}, []float64{0}},
+		{"no slots", []Call{{0, 0, 1, 1}}, Capacity{}, []float64{0}},
 	}
 	for _, test := range tests {
 		for i, got := range Reachable(test.calls, test.capacity) {
 			if math.Abs(got-test.want[i]) > 1e-9 {
-				t.Errorf("%s: call %d is served to %g, want %g", test.name, i, got, test.want[i])
+				t.Errorf("%s: the served fraction of call %d is %g, want %g", test.name, i, got, test.want[i])
 			}
 		}
 	}
 }
 
-// Guards against a bound below what a policy reaches: serving by arrival must never be
+// Guards against a bound below what a policy reaches: serving in order of arrival must never be
 // worth more.
 func TestNoPolicyIsAboveTheBound(t *testing.T) {
 	for seed := range uint64(500) {
--- a/planner/doc.go
+++ b/planner/doc.go
@@ -1,4 +1,4 @@
-// Package planner computes what the engines of a service could have read in time if
-// somebody had known all calls beforehand. It is an upper bound for every policy: engine
-// time is divided at will, and nothing else is short. It is pure.
+// Package planner computes how much the engines of a service could have prefilled in time if all
+// calls had been known in advance. The result is an upper bound for every policy: engine time
+// can be divided arbitrarily, and no other resource is limited. The package does no I/O.
 package planner
