--- a/loadshare/board.go
+++ b/loadshare/board.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Board sums up what the other instances reported. It is not safe for concurrent use.
+// Board combines the loads that the other instances reported. It is not safe for concurrent use.
 type Board struct {
 	senders map[Key]*sender
-	loads   map[Key]map[Key]reported // by upstream, then by sender; only loads that are not nothing
+	loads   map[Key]map[Key]reported // by upstream, then by sender; only non-zero loads
 }
 
 type sender struct {
-	sequence uint32
-	heardAt  time.Time
-	loaded   map[Key]bool // upstreams at which it has something under way
+	sequence   uint32
+	receivedAt time.Time
+	loaded     map[Key]bool // upstreams with a non-zero load from this sender
 }
 
-// reported is a load and when it was reported.
+// reported is a load and the time of its report.
 type reported struct {
 	load Load
 	at   time.Time
@@ -22,13 +22,12 @@
 
 func (t reported) now(now time.Time) Load { return t.load.After(now.Sub(t.at)) }
 
-// Forget is the age from which on the word of an instance does not count any
-// more: twice the interval of full reports, so that one may be lost. An instance
-// that died has nothing under way.
+// Forget is the age after which the reports of an instance expire: twice the interval of full
+// reports, so that one may be lost. A dead instance has nothing in flight.
 const Forget = 2*FullInterval + 200*time.Millisecond
 
-// FullInterval is how often an instance tells all of its loads, which repairs
-// what lost datagrams left wrong.
+// FullInterval is the interval at which an instance reports all of its loads, which corrects
+// errors from lost datagrams.
 const FullInterval = 400 * time.Millisecond
 
 // NewBoard returns an empty board.
@@ -36,31 +35,31 @@
 	return &Board{senders: map[Key]*sender{}, loads: map[Key]map[Key]reported{}}
 }
 
-// Take takes in a report and reports whether it was news. Datagrams may overtake
-// each other.
+// Take applies a report and returns whether it was newer than the last one of its sender.
+// Datagrams may arrive out of order.
 func (b *Board) Take(now time.Time, r *Report) bool {
 	s := b.senders[r.Sender]
 	if s != nil && int32(r.Sequence-s.sequence) <= 0 {
 		return false
 	}
 	if s == nil {
-		b.forgetSilent(now)
+		b.removeExpired(now)
 		s = &sender{loaded: map[Key]bool{}}
 		b.senders[r.Sender] = s
 	}
-	s.sequence, s.heardAt = r.Sequence, now
+	s.sequence, s.receivedAt = r.Sequence, now
 	if r.Full {
-		b.clear(r.Sender, s)
+		b.clearSender(r.Sender, s)
 	}
 	for key, load := range r.Loads {
-		b.set(r.Sender, s, key, reported{load: load, at: now})
+		b.setLoad(r.Sender, s, key, reported{load: load, at: now})
 	}
 	return true
 }
 
-func (b *Board) set(id Key, s *sender, key Key, t reported) {
+func (b *Board) setLoad(id Key, s *sender, key Key, t reported) {
 	if t.load == (Load{}) {
-		b.drop(id, s, key)
+		b.removeLoad(id, s, key)
 		return
 	}
 	if b.loads[key] == nil {
@@ -70,7 +69,7 @@
 	s.loaded[key] = true
 }
 
-func (b *Board) drop(id Key, s *sender, key Key) {
+func (b *Board) removeLoad(id Key, s *sender, key Key) {
 	delete(s.loaded, key)
 	delete(b.loads[key], id)
 	if len(b.loads[key]) == 0 {
@@ -78,31 +77,31 @@
 	}
 }
 
-func (b *Board) clear(id Key, s *sender) {
+func (b *Board) clearSender(id Key, s *sender) {
 	for key := range s.loaded {
-		b.drop(id, s, key)
+		b.removeLoad(id, s, key)
 	}
 }
 
-// forgetSilent drops the senders whose word does not count any more.
-func (b *Board) forgetSilent(now time.Time) {
+// removeExpired removes the senders whose reports have expired.
+func (b *Board) removeExpired(now time.Time) {
 	for id, s := range b.senders {
-		if now.Sub(s.heardAt) > Forget {
-			b.clear(id, s)
+		if now.Sub(s.receivedAt) > Forget {
+			b.clearSender(id, s)
 			delete(b.senders, id)
 		}
 	}
 }
 
-// Remove drops what a sender reported.
+// Remove removes all loads of a sender.
 func (b *Board) Remove(id Key) {
 	if s := b.senders[id]; s != nil {
-		b.clear(id, s)
+		b.clearSender(id, s)
 		delete(b.senders, id)
 	}
 }
 
-// Loads returns what the others have under way at all upstreams.
+// Loads returns the combined load of the other instances for all upstreams.
 func (b *Board) Loads(now time.Time) map[Key]Load {
 	loads := make(map[Key]Load, len(b.loads))
 	for key := range b.loads {
@@ -113,13 +112,13 @@
 	return loads
 }
 
-// Load returns what the others have under way at an upstream. It looks only at those
-// that have: a call is placed by the loads of all upstreams, and with hundreds of
-// instances each of them has work at a few.
+// Load returns the combined load of the other instances at an upstream. It visits only the
+// instances with a load there: placing a call needs the loads of all upstreams, and with
+// hundreds of instances each of them uses only a few upstreams.
 func (b *Board) Load(now time.Time, key Key) Load {
 	var total Load
 	for id, t := range b.loads[key] {
-		if now.Sub(b.senders[id].heardAt) <= Forget {
+		if now.Sub(b.senders[id].receivedAt) <= Forget {
 			total = total.Add(t.now(now))
 		}
 	}
--- a/loadshare/board_test.go
+++ b/loadshare/board_test.go
@@ -29,25 +29,26 @@
 	}
 }
 
-func TestCutReportsAreRefused(t *testing.T) {
-	// A datagram is cut short. Half of a report would take back loads that are there.
+func TestTruncatedReportsAreRejected(t *testing.T) {
+	// A datagram is truncated. If half of a report were accepted, it could remove loads that
+	// still exist.
 	report := Report{Sender: 1, Sequence: 1, Loads: map[Key]Load{1: {Streams: 1}}}
 	data := report.Encode()
 	for cut := range data {
-		if cut == headBytes {
+		if cut == headerBytes {
 			continue // a report without loads
 		}
 		if _, err := Decode(data[:cut]); err == nil {
-			t.Errorf("a report cut at %d was taken", cut)
+			t.Errorf("a report truncated to %d bytes was accepted", cut)
 		}
 	}
 }
 
 func TestBoardAgreesAgainAfterLosses(t *testing.T) {
-	// Datagrams are lost, doubled and overtake each other, and calls end while
-	// nobody hears of it. An engine whose load was never taken back would stay
-	// empty for good, and one whose load was never reported would be overrun. Within
-	// one full report the others have to agree with the instance again.
+	// Datagrams are lost, duplicated and reordered, and calls end without a report that arrives.
+	// An engine whose load was never removed would stay unused for good, and one whose load was
+	// never reported would be overloaded. Within one full report the other instances have to
+	// agree with the sender again.
 	rapid.Check(t, func(t *rapid.T) {
 		reporter, board := NewReporter(1), NewBoard()
 		now := start
@@ -78,56 +79,56 @@
 		board.Take(now, reporter.Next(now, loads))
 		for key := Key(1); key <= 3; key++ {
 			if got := board.Load(now, key); got != loads[key] {
-				t.Fatalf("engine %d has the load %+v, the others think %+v", key, loads[key], got)
+				t.Fatalf("engine %d has the load %+v, the board has %+v", key, loads[key], got)
 			}
 		}
 	})
 }
 
-func TestDeadInstanceLoadsNothing(t *testing.T) {
-	// An instance is killed while it has work under way. Its engines drop that work
-	// when the connections break, so the others must stop counting it.
+func TestLoadsOfDeadInstancesExpire(t *testing.T) {
+	// An instance is killed while it has calls in flight. Its engines drop these calls when the
+	// connections break, so the other instances must stop counting them.
 	board := NewBoard()
 	board.Take(start, &Report{Sender: 1, Sequence: 1, Full: true, Loads: map[Key]Load{5: {Streams: 4}}})
 	if got := board.Load(start.Add(Forget), 5); got.Streams != 4 {
-		t.Errorf("within the time %+v is known, want 4 streams", got)
+		t.Errorf("before the report expires the load is %+v, want 4 streams", got)
 	}
 	if got := board.Load(start.Add(Forget+time.Millisecond), 5); got != (Load{}) {
-		t.Errorf("after the time %+v is known, want nothing", got)
+		t.Errorf("after the report has expired the load is %+v, want none", got)
 	}
 }
 
-func TestOvertakenReportChangesNothing(t *testing.T) {
-	// A datagram arrives after one that was sent later. Taken in, a call that has
+func TestReorderedReportChangesNothing(t *testing.T) {
+	// A datagram arrives after one that was sent later. If it were applied, a call that has
 	// ended would load its engine again until the next full report.
 	board := NewBoard()
 	board.Take(start, &Report{Sender: 1, Sequence: 2, Full: true, Loads: map[Key]Load{}})
 	if board.Take(start, &Report{Sender: 1, Sequence: 1, Loads: map[Key]Load{5: {Streams: 1}}}) {
-		t.Error("an older report counts as news")
+		t.Error("an older report was accepted")
 	}
 	if got := board.Load(start, 5); got != (Load{}) {
 		t.Errorf("load %+v", got)
 	}
 }
 
-func TestReadingEndsWithoutAWord(t *testing.T) {
-	// An instance sends a long prompt to an engine and says so once. Some tenths of a
-	// second later the engine has read it, but the answer still waits for other
-	// engines. Those who believe the old word pass over an idle engine.
+func TestPrefillEndsWithoutAReport(t *testing.T) {
+	// An instance sends a long prompt to an engine and reports it once. Some tenths of a second
+	// later the engine has prefilled it, but the answer still waits for other engines. Instances
+	// that rely on the outdated report would skip an idle engine.
 	board := NewBoard()
 	board.Take(start, &Report{Sender: 1, Sequence: 1, Loads: map[Key]Load{5: {Streams: 1, Reading: 300 * time.Millisecond}}})
 	board.Take(start, &Report{Sender: 2, Sequence: 1, Loads: map[Key]Load{5: {Streams: 1, Reading: 400 * time.Millisecond}}})
 	if got := board.Load(start.Add(100*time.Millisecond), 5); got.Reading != 300*time.Millisecond {
-		t.Errorf("after 100 ms %s are left to read, want the later end, in 300 ms", got.Reading)
+		t.Errorf("after 100 ms %s of prefill are left, want the later end, in 300 ms", got.Reading)
 	}
 	if got := board.Load(start.Add(500*time.Millisecond), 5); got.Reading != 0 || got.Streams != 2 {
-		t.Errorf("after 500 ms %+v is left, want two streams and nothing to read", got)
+		t.Errorf("after 500 ms the load is %+v, want two streams and no prefill", got)
 	}
 }
 
-func TestPassingTimeIsNoNews(t *testing.T) {
-	// What is left to read shrinks by itself. If that was reported, each instance would
-	// send datagrams to all others all the time.
+func TestPassingTimeIsNotReported(t *testing.T) {
+	// The remaining prefill time shrinks by itself. If that were reported, each instance would
+	// continuously send datagrams to all others.
 	reporter := NewReporter(1)
 	load := Load{Streams: 1, Reading: 300 * time.Millisecond}
 	reporter.Next(start, map[Key]Load{5: load})
@@ -136,25 +137,25 @@
 		t.Errorf("reported %+v", r.Loads)
 	}
 	if r := reporter.Next(at, map[Key]Load{5: {Streams: 1}}); r == nil || r.Loads[5].Reading != 0 {
-		t.Error("an engine that is free sooner was not reported")
+		t.Error("an engine that becomes free earlier was not reported")
 	}
 }
 
-func TestSilentSendersLeaveTheBoard(t *testing.T) {
-	// Instances are replaced all the time. If the loads of dead ones stayed, the board
-	// would grow for as long as an instance runs.
+func TestSilentSendersAreRemoved(t *testing.T) {
+	// Instances are replaced all the time. If the loads of dead ones were kept, the board would
+	// grow without bound.
 	board := NewBoard()
 	for id := range 100 {
 		now := start.Add(time.Duration(id) * Forget)
 		board.Take(now, &Report{Sender: Key(id), Sequence: 1, Loads: map[Key]Load{Key(id): {Streams: 1}}})
 	}
 	if len(board.senders) > 2 || len(board.loads) > 2 {
-		t.Errorf("%d senders with %d loads are kept, want those of the last moments", len(board.senders), len(board.loads))
+		t.Errorf("%d senders with %d loads are kept, want only those that have not expired", len(board.senders), len(board.loads))
 	}
 }
 
-// BenchmarkLoads sums up the loads of all engines for one call in a fleet of 330
-// instances, each of which has work at four of 600 engines.
+// BenchmarkLoads combines the loads of all engines for one call in a fleet of 330 instances,
+// each of which uses four of 600 engines.
 func BenchmarkLoads(b *testing.B) {
 	const instances, engines = 330, 600
 	board := NewBoard()
@@ -174,8 +175,8 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	// Whatever arrives at the port of the loads must be refused or read, without a panic,
-	// and what was read must be written the same.
+	// Any datagram must be rejected or decoded without a panic, and a decoded report must be the
+	// same after encoding and decoding it again.
 	report := Report{Sender: 1, Zone: 2, Sequence: 3, Full: true, Loads: map[Key]Load{5: {Streams: 1, Suspicions: 2, Failing: 1, Pace: 10}}}
 	f.Add(report.Encode())
 	f.Add([]byte{})
@@ -186,7 +187,7 @@
 		}
 		again, err := Decode(r.Encode())
 		if err != nil || again.Sender != r.Sender || again.Zone != r.Zone || again.Full != r.Full || !maps.Equal(again.Loads, r.Loads) {
-			t.Errorf("%+v is written and read as %+v, %v", r, again, err)
+			t.Errorf("%+v is encoded and decoded as %+v, %v", r, again, err)
 		}
 	})
 }
--- a/loadshare/load.go
+++ b/loadshare/load.go
@@ -2,25 +2,24 @@
 
 import "time"
 
-// Load is the work that one instance, or all together, have under way at an
-// upstream.
+// Load is the load of one instance, or of all instances combined, at an upstream.
 type Load struct {
-	Streams    int           // calls that were sent and have not ended
-	Tight      int           // of these, streams whose pauses must be short
+	Streams    int           // calls in flight
+	Tight      int           // of these, streams that allow only short pauses
 	Late       int           // of these, streams that can't be in time any more
-	Reading    time.Duration // until the prompts that were sent are read, from now
-	Held       int           // tokens of KV memory
-	Leading    int           // calls whose prompt it reads, alone or with helpers, and which have no event yet
-	Helping    int           // parts that it reads for such calls of other upstreams
-	Suspicions int           // instances that failed to reach it of late
-	Failing    int           // instances whose last call there failed of late, although it was reached
-	Pace       int           // how many times as long as usual it takes, in tenths, by its last report; 0: not polled
+	Reading    time.Duration // time until all prompts sent are prefilled
+	Held       int           // tokens of KV memory in use
+	Leading    int           // calls without an event yet whose prompt it prefills, alone or with helpers
+	Helping    int           // parts that it prefills for such calls of other upstreams
+	Suspicions int           // instances that recently failed to reach it
+	Failing    int           // instances whose last call there recently failed although it was reachable
+	Pace       int           // duration relative to the usual one, in tenths, by its last report; 0: not polled
 }
 
-// Add returns the load of two instances together. Each of them counts the prompts
-// of the other in when it predicts until when an upstream reads its own, so the
-// later end holds. With the sum, upstreams that have read their parts long ago look
-// busy until the last part of the same prompt is read.
+// Add returns the combined load of two instances. Each of them already includes the prompts of
+// the other when it predicts when an upstream will have prefilled its own, so the later end
+// applies. With the sum, upstreams that have long prefilled their parts would seem busy until
+// the last part of the same prompt is prefilled.
 func (l Load) Add(other Load) Load {
 	return Load{
 		Streams:    l.Streams + other.Streams,
@@ -36,19 +35,19 @@
 	}
 }
 
-// After returns the load when some time has passed, as long as nothing new is reported.
+// After returns the load after some time has passed without a new report.
 func (l Load) After(passed time.Duration) Load {
 	l.Reading = max(0, l.Reading-passed)
 	return l
 }
 
-// nearlyReading is the difference in the reading that is not worth a report: a
-// piece of a prompt, which an upstream doesn't interrupt.
-const nearlyReading = 20 * time.Millisecond
+// prefillTolerance is the difference in prefill time that is not worth a report: that of a
+// chunk, which an upstream doesn't interrupt.
+const prefillTolerance = 20 * time.Millisecond
 
-// nearly reports whether two loads are the same to those who place calls.
-func (l Load) nearly(other Load) bool {
+// approxEqual reports whether two loads are equivalent for the placement of calls.
+func (l Load) approxEqual(other Load) bool {
 	difference := (l.Reading - other.Reading).Abs()
 	l.Reading, other.Reading = 0, 0
-	return l == other && difference <= nearlyReading
+	return l == other && difference <= prefillTolerance
 }
--- a/loadshare/report.go
+++ b/loadshare/report.go
@@ -9,37 +9,37 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Key names an upstream in a report.
+// Key identifies an upstream in a report.
 type Key uint64
 
-// KeyOf returns the key of an upstream's name. Two names share one by chance
-// about once in 10^13 pairs, and would then only look loaded together.
+// KeyOf returns the key of an upstream's name. Two names collide about once in 10^13 pairs, and
+// each of the two upstreams would then only show the load of both.
 func KeyOf(name string) Key { return Key(xxhash.Sum64String(name)) }
 
-// Report is one datagram.
+// Report is the content of one datagram.
 type Report struct {
-	Sender   Key    // name and incarnation of the instance
-	Zone     Key    // the availability zone whose loads it sums up; 0: the sender tells only its own
-	Sequence uint32 // grows with each report of the sender
-	Full     bool   // upstreams that it leaves out have no load from the sender
+	Sender   Key    // hash of the name and incarnation of the instance
+	Zone     Key    // availability zone that the report aggregates; 0: only the sender's own loads
+	Sequence uint32 // increases with each report of the sender
+	Full     bool   // upstreams not listed have no load from the sender
 	Loads    map[Key]Load
 }
 
 const (
-	headBytes = 8 + 8 + 4 + 1
-	loadBytes = 8 + 7*1 + 2*2
-	// failingUnit puts two counts into one byte. More than its half-bytes hold are reported
-	// as that many; two are enough to avoid an upstream.
+	headerBytes = 8 + 8 + 4 + 1
+	loadBytes   = 8 + 7*1 + 2*2
+	// failingUnit packs two counts into one byte. Higher counts than a half-byte can hold are
+	// capped; two are enough to avoid an upstream.
 	failingUnit = 16
-	// heldUnit is the step in which held tokens are reported.
+	// heldUnit is the granularity in which held tokens are reported.
 	heldUnit = 1024
 )
 
-var errMalformed = errors.New("not a report of loads")
+var errMalformed = errors.New("malformed load report")
 
-// Encode returns the content of the datagram.
+// Encode returns the payload of the datagram.
 func (r *Report) Encode() []byte {
-	data := make([]byte, headBytes, headBytes+loadBytes*len(r.Loads))
+	data := make([]byte, headerBytes, headerBytes+loadBytes*len(r.Loads))
 	binary.LittleEndian.PutUint64(data, uint64(r.Sender))
 	binary.LittleEndian.PutUint64(data[8:], uint64(r.Zone))
 	binary.LittleEndian.PutUint32(data[16:], r.Sequence)
@@ -56,9 +56,9 @@
 	return data
 }
 
-// Decode reads the content of a datagram.
+// Decode decodes the payload of a datagram.
 func Decode(body []byte) (*Report, error) {
-	if len(body) < headBytes || (len(body)-headBytes)%loadBytes != 0 {
+	if len(body) < headerBytes || (len(body)-headerBytes)%loadBytes != 0 {
 		return nil, errMalformed
 	}
 	r := &Report{
@@ -66,9 +66,9 @@
 		Zone:     Key(binary.LittleEndian.Uint64(body[8:])),
 		Sequence: binary.LittleEndian.Uint32(body[16:]),
 		Full:     body[20] == 1,
-		Loads:    make(map[Key]Load, (len(body)-headBytes)/loadBytes),
+		Loads:    make(map[Key]Load, (len(body)-headerBytes)/loadBytes),
 	}
-	for rest := body[headBytes:]; len(rest) > 0; rest = rest[loadBytes:] {
+	for rest := body[headerBytes:]; len(rest) > 0; rest = rest[loadBytes:] {
 		r.Loads[Key(binary.LittleEndian.Uint64(rest))] = Load{
 			Streams:    int(rest[8]),
 			Tight:      int(rest[9]),
--- a/loadshare/reporter.go
+++ b/loadshare/reporter.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Reporter decides what an instance tells the others, and when. It is not safe for
+// Reporter decides what an instance reports to the others, and when. It is not safe for
 // concurrent use.
 type Reporter struct {
 	id       Key
@@ -14,15 +14,16 @@
 // NewReporter returns the reporter of one incarnation of an instance.
 func NewReporter(id Key) *Reporter { return &Reporter{id: id, reported: map[Key]reported{}} }
 
-// Restart has the next report tell all loads, to those that may not know the last ones.
+// Restart makes the next report a full one, for receivers that may not have the previous
+// reports.
 func (t *Reporter) Restart() { t.fullAt = time.Time{} }
 
-// Next returns the report that is due, given the present loads, or nil.
+// Next returns the report that is due for the current loads, or nil.
 func (t *Reporter) Next(now time.Time, loads map[Key]Load) *Report {
 	full := now.Sub(t.fullAt) >= FullInterval
 	r := &Report{Sender: t.id, Full: full, Loads: map[Key]Load{}}
 	for key, load := range loads {
-		if full || !load.nearly(t.reported[key].now(now)) {
+		if full || !load.approxEqual(t.reported[key].now(now)) {
 			r.Loads[key] = load
 		}
 	}
@@ -38,14 +39,14 @@
 		t.fullAt = now
 		clear(t.reported)
 	}
-	t.note(now, r)
+	t.recordReported(now, r)
 	t.sequence++
 	r.Sequence = t.sequence
 	return r
 }
 
-// note remembers what the others know from now on.
-func (t *Reporter) note(now time.Time, r *Report) {
+// recordReported stores the loads as the other instances will know them after the report.
+func (t *Reporter) recordReported(now time.Time, r *Report) {
 	for key, load := range r.Loads {
 		if load == (Load{}) {
 			delete(t.reported, key)
--- a/loadshare/zones.go
+++ b/loadshare/zones.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Zones holds what the other availability zones of a fleet have under way, as one
-// instance of each, at a time, sums it up. It is not safe for concurrent use.
+// Zones holds the loads of the other availability zones of a fleet. One instance of each zone at
+// a time aggregates and reports them. Zones is not safe for concurrent use.
 //
-// In a large fleet each instance would else get every report of every other one, and
-// spend on them processor time that its calls wait for.
+// Without the aggregation, in a large fleet each instance would receive every report of every
+// other one and spend processor time on them that delays its calls.
 type Zones struct {
 	own         Key
 	board       *Board
-	aggregators map[Key]Key // by zone: whose word counts
+	aggregators map[Key]Key // current aggregator of each zone
 }
 
-// NewZones returns an empty sum for an instance of a zone.
+// NewZones returns an empty aggregate for an instance of the given zone.
 func NewZones(own Key) *Zones {
 	return &Zones{own: own, board: NewBoard(), aggregators: map[Key]Key{}}
 }
 
-// Take takes in a report of a zone and reports whether it was news. When another
-// instance begins to sum up a zone, its first full report takes the place of what the
-// former one reported: both together would count each load twice.
+// Take applies a report of a zone and returns whether it was new. When another instance becomes
+// the aggregator of a zone, its first full report replaces everything that the former one
+// reported; with both together each load would be counted twice.
 func (z *Zones) Take(now time.Time, r *Report) bool {
 	if r.Zone == z.own {
-		return false // known from the instances themselves
+		return false // these instances report their loads directly
 	}
 	if aggregator, found := z.aggregators[r.Zone]; found && aggregator != r.Sender {
 		if !r.Full {
@@ -35,5 +35,5 @@
 	return z.board.Take(now, r)
 }
 
-// Load returns what the other zones have under way at an upstream.
+// Load returns the load of the other zones at an upstream.
 func (z *Zones) Load(now time.Time, key Key) Load { return z.board.Load(now, key) }
--- a/loadshare/zones_test.go
+++ b/loadshare/zones_test.go
@@ -3,9 +3,9 @@
 import "testing"
 
 func TestZoneIsCountedOnce(t *testing.T) {
-	// The instance that sums up a zone dies, or is believed dead, and another one
-	// takes over. If both counted, the engines would look twice as loaded as they are, and
-	// prompts would be refused beside idle engines.
+	// The instance that aggregates a zone dies, or is believed dead, and another one takes over.
+	// If both counted, the engines would seem twice as loaded as they are, and prompts would be
+	// rejected although engines are idle.
 	zones := NewZones(KeyOf("own"))
 	zone, engine := KeyOf("other"), KeyOf("engine")
 	report := func(sender Key, sequence uint32, full bool, streams int) *Report {
@@ -17,10 +17,10 @@
 		want   int
 	}{
 		{"the first aggregator", report(1, 1, true, 3), 3},
-		{"its next word", report(1, 2, false, 4), 4},
-		{"another one, not whole yet", report(2, 1, false, 9), 4},
-		{"another one, whole", report(2, 2, true, 5), 5},
-		{"the former one, late", report(1, 3, false, 4), 5},
+		{"its next report", report(1, 2, false, 4), 4},
+		{"another one, without a full report", report(2, 1, false, 9), 4},
+		{"another one, with a full report", report(2, 2, true, 5), 5},
+		{"the former one, delayed", report(1, 3, false, 4), 5},
 	}
 	for _, step := range steps {
 		zones.Take(start, step.report)
@@ -33,13 +33,13 @@
 func TestOwnZoneIsNotCountedAgain(t *testing.T) {
 	zones := NewZones(KeyOf("own"))
 	if zones.Take(start, &Report{Sender: 1, Zone: KeyOf("own"), Sequence: 1, Full: true, Loads: map[Key]Load{5: {Streams: 1}}}) {
-		t.Error("the own zone was taken in from its aggregator")
+		t.Error("the report of the own zone's aggregator was accepted")
 	}
 }
 
-func TestSumKeepsCountsApart(t *testing.T) {
-	// Of a whole zone, twenty instances suspicion an engine. If the count ran over into that
-	// of its failures, an engine that answers would be passed over.
+func TestCountsDoNotOverflowIntoEachOther(t *testing.T) {
+	// Twenty instances of a zone suspect an engine. If that count overflowed into the count of
+	// failures, an engine that answers would be skipped.
 	report := Report{Sender: 1, Zone: 2, Loads: map[Key]Load{5: {Suspicions: 20, Failing: 1}}}
 	got, err := Decode(report.Encode())
 	if err != nil || got.Zone != 2 {
@@ -50,12 +50,12 @@
 	}
 }
 
-func TestAggregatorThatStartsTellsAll(t *testing.T) {
+func TestRestartedAggregatorSendsAFullReport(t *testing.T) {
 	reporter := NewReporter(1)
 	loads := map[Key]Load{5: {Streams: 1}}
 	reporter.Next(start, loads)
 	reporter.Restart()
 	if r := reporter.Next(start, loads); r == nil || !r.Full || len(r.Loads) != 1 {
-		t.Errorf("after a pause it tells %+v", r)
+		t.Errorf("after a restart it reports %+v", r)
 	}
 }
