--- a/arbiter/queue.go
+++ b/arbiter/queue.go
@@ -129,7 +129,7 @@
 			fleets[w.ask.Service] = fleet
 		}
 		if fleet != nil {
-			w.prefill = placement.Reading(fleet.Profile, w.ask.Prompt)
+			w.prefill = placement.PrefillTime(fleet.Profile, w.ask.Prompt)
 		}
 		list = append(list, w)
 	}
--- a/losses/reach.go
+++ b/losses/reach.go
@@ -81,7 +81,7 @@
 // answer that did not come counts as none, so that the bound stays one.
 func engineTime(p *settings.EngineProfile, c *call) float64 {
 	step := p.Step.Seconds()/float64(max(1, p.Slots)) + p.StepPerWriter.Seconds()
-	return placement.Reading(p, int(c.prompt)).Seconds() + c.events*float64(max(1, p.Stride))*step
+	return placement.PrefillTime(p, int(c.prompt)).Seconds() + c.events*float64(max(1, p.Stride))*step
 }
 
 // enginesOver returns the engine time of each slot, by the most engines that any call of
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -68,8 +68,8 @@
 	Tokens int
 }
 
-// Reading returns how long an idle engine takes to prefill a prompt.
-func Reading(p *settings.EngineProfile, tokens int) time.Duration {
+// PrefillTime returns how long an idle engine takes to prefill a prompt.
+func PrefillTime(p *settings.EngineProfile, tokens int) time.Duration {
 	if p.ReadRate <= 0 {
 		return 0
 	}
--- a/placement/prompt.go
+++ b/placement/prompt.go
@@ -41,7 +41,7 @@
 }
 
 func planPrompt(p *settings.EngineProfile, engines []Engine, usable []int, call *Call) (Plan, bool) {
-	prefill := Reading(p, call.Prompt)
+	prefill := PrefillTime(p, call.Prompt)
 	if prefill <= maxShortPrefill(p) {
 		if plan, found := packShort(p, engines, usable, call, prefill); found {
 			return plan, true
@@ -126,4 +126,6 @@
 }
 
 // Long reports whether a prompt is long, which means that its prefill delays tight streams.
-func Long(p *settings.EngineProfile, prompt int) bool { return Reading(p, prompt) > maxShortPrefill(p) }
+func Long(p *settings.EngineProfile, prompt int) bool {
+	return PrefillTime(p, prompt) > maxShortPrefill(p)
+}
--- a/placement/prompt_test.go
+++ b/placement/prompt_test.go
@@ -354,7 +354,7 @@
 	// If the prompt were rejected, the caller would retry when its answer can only be late.
 	engines := testEngines(1)
 	prompt := longCall
-	prompt.Objective = Reading(testProfile, prompt.Prompt) + 2*passTime(testProfile, 1)
+	prompt.Objective = PrefillTime(testProfile, prompt.Prompt) + 2*passTime(testProfile, 1)
 	prompt.Objective += prompt.Objective / 14
 	if plan, found := Prompt(testProfile, engines, &prompt); !found {
 		t.Errorf("rejected with a first event after %s of %s", plan.FirstEvent, prompt.Objective)
@@ -477,11 +477,11 @@
 		t.Fatalf("plan %+v: rejected although all engines together can prefill it between two events of each stream", first)
 	}
 	pass := passTime(testProfile, 7)
-	if part := Reading(testProfile, long.Prompt) / time.Duration(1+len(first.Helpers)); part+pass > testProfile.LeastPause {
+	if part := PrefillTime(testProfile, long.Prompt) / time.Duration(1+len(first.Helpers)); part+pass > testProfile.LeastPause {
 		t.Errorf("%d engines prefill parts of %s, and a pass takes %s", 1+len(first.Helpers), part, pass)
 	}
 	addPlan(engines, &first, &long)
-	part := Reading(testProfile, long.Prompt) / time.Duration(1+len(first.Helpers))
+	part := PrefillTime(testProfile, long.Prompt) / time.Duration(1+len(first.Helpers))
 	pass = passTime(testProfile, 6)
 	for _, passed := range []time.Duration{part / 2, part, part + pass - maxFreePrefill(testProfile) - time.Millisecond} {
 		then := slices.Clone(engines)
@@ -598,7 +598,7 @@
 		if len(plan.Helpers) > maxHelpers {
 			t.Fatalf("%d helpers, more than the maximum", len(plan.Helpers))
 		}
-		whole := Reading(testProfile, call.Prompt)
+		whole := PrefillTime(testProfile, call.Prompt)
 		if sum := plan.Part * time.Duration(len(seen)); sum < whole-time.Duration(len(seen)) || sum > whole {
 			t.Fatalf("%d parts of %s make up %s of %s", len(seen), plan.Part, sum, whole)
 		}
