--- a/arbiter/queue.go
+++ b/arbiter/queue.go
@@ -201,21 +201,21 @@
 func (f *Fleet) record(answer *Answer, ask *Ask) {
 	for key, load := range answer.Loads(f.Profile, ask) {
 		at := slices.Index(f.Keys, key)
-		prefill := f.Engines[at].Load.Reading + load.Reading
+		prefill := f.Engines[at].Load.PrefillTime + load.PrefillTime
 		f.Engines[at].Load = f.Engines[at].Load.Add(load)
-		f.Engines[at].Load.Reading = prefill
+		f.Engines[at].Load.PrefillTime = prefill
 	}
 }
 
 // Loads returns the load that a placed prompt adds to each of its engines.
 func (a *Answer) Loads(p *settings.EngineProfile, ask *Ask) map[loadshare.Key]loadshare.Load {
 	loads := map[loadshare.Key]loadshare.Load{}
-	lead := loadshare.Load{Streams: 1, Leading: 1, Reading: a.Part, Held: ask.Prompt + ask.Answer}
+	lead := loadshare.Load{Streams: 1, Leading: 1, PrefillTime: a.Part, Held: ask.Prompt + ask.Answer}
 	if placement.Tight(p, ask.LongPause) {
 		lead.Tight = 1
 	}
 	for _, key := range a.Helpers {
-		loads[key] = loadshare.Load{Helping: 1, Reading: a.Part}
+		loads[key] = loadshare.Load{Helping: 1, PrefillTime: a.Part}
 	}
 	for _, r := range a.Reserved {
 		load := loads[r.Engine]
--- a/arbiter/queue_test.go
+++ b/arbiter/queue_test.go
@@ -86,7 +86,7 @@
 	// answer until then could have retried in time.
 	queue, w := NewQueue(), &fakeFleets{engines: 4, loads: map[loadshare.Key]loadshare.Load{}}
 	for key := loadshare.Key(1); key <= 4; key++ {
-		w.loads[key] = loadshare.Load{Leading: 1, Reading: 6 * time.Second}
+		w.loads[key] = loadshare.Load{Leading: 1, PrefillTime: 6 * time.Second}
 	}
 	queue.Take(start, newRequest("a", 300_000))
 	answers := queue.Step(start, w)
@@ -131,7 +131,7 @@
 	// would be idle while other prompts wait.
 	queue, w := NewQueue(), &fakeFleets{engines: 4, loads: map[loadshare.Key]loadshare.Load{}}
 	for key := loadshare.Key(1); key <= 4; key++ {
-		w.loads[key] = loadshare.Load{Leading: 1, Reading: time.Second}
+		w.loads[key] = loadshare.Load{Leading: 1, PrefillTime: time.Second}
 	}
 	queue.Take(start, newRequest("a", 60_000))
 	if answers := queue.Step(start, w); len(answers) > 0 {
--- a/forward/arbitration_world.go
+++ b/forward/arbitration_world.go
@@ -61,7 +61,7 @@
 	for _, n := range f.nodes {
 		if load, given := loads[n.key]; given {
 			f.countLimited(w.now, n)
-			load.Reading += f.loadOf(w.now, n).Reading
+			load.PrefillTime += f.loadOf(w.now, n).PrefillTime
 			n.granted = append(n.granted, grant{ask: ask.ID, load: load, at: w.now, kept: grantsKept(len(view.Instances))})
 		}
 	}
@@ -85,7 +85,7 @@
 	if passed < g.kept {
 		return left, true
 	}
-	return loadshare.Load{Reading: left.Reading}, left.Reading > 0
+	return loadshare.Load{PrefillTime: left.PrefillTime}, left.PrefillTime > 0
 }
 
 // voidGrant forgets what an ask was given: its prompt is placed again.
--- a/forward/node.go
+++ b/forward/node.go
@@ -61,7 +61,7 @@
 func (n *node) own(now time.Time) loadshare.Load {
 	load := n.load
 	for _, end := range n.reading {
-		load.Reading = max(load.Reading, end.Sub(now))
+		load.PrefillTime = max(load.PrefillTime, end.Sub(now))
 	}
 	if n.suspicion.holds(now) {
 		load.Suspicions = 1
--- a/forward/work.go
+++ b/forward/work.go
@@ -56,7 +56,7 @@
 	if n.reading == nil {
 		n.reading = map[*work]time.Time{}
 	}
-	n.reading[w] = now.Add(f.loadOf(now, n).Reading + w.part)
+	n.reading[w] = now.Add(f.loadOf(now, n).PrefillTime + w.part)
 }
 
 // answering notes that the answer of a send has begun: its prompt is read.
--- a/forward/work_test.go
+++ b/forward/work_test.go
@@ -20,13 +20,13 @@
 		w := &work{lead: lead, helpers: []*node{helper}, part: 600 * time.Millisecond, tight: true}
 		f.mu.Lock()
 		f.begin(time.Now(), w)
-		if lead.own(time.Now()).Reading == 0 || helper.own(time.Now()).Reading == 0 {
+		if lead.own(time.Now()).PrefillTime == 0 || helper.own(time.Now()).PrefillTime == 0 {
 			t.Error("a prompt that is just sent counts as read")
 		}
 		f.mu.Unlock()
 		time.Sleep(time.Second)
 		f.mu.Lock()
-		if at := lead.own(time.Now()); at.Reading != 0 || at.Streams != 1 || helper.own(time.Now()).Reading != 0 {
+		if at := lead.own(time.Now()); at.PrefillTime != 0 || at.Streams != 1 || helper.own(time.Now()).PrefillTime != 0 {
 			t.Errorf("after a second %+v and %+v are under way", at, helper.own(time.Now()))
 		}
 		f.mu.Unlock()
@@ -51,10 +51,10 @@
 		second := &work{lead: late, helpers: []*node{early}, part: 500 * time.Millisecond}
 		f.begin(time.Now(), second)
 		time.Sleep(600 * time.Millisecond)
-		if got := late.own(time.Now()).Reading; got != 900*time.Millisecond {
+		if got := late.own(time.Now()).PrefillTime; got != 900*time.Millisecond {
 			t.Errorf("%s are left to read at the engine that had work, want 900 ms", got)
 		}
-		if got := early.own(time.Now()).Reading; got != 0 {
+		if got := early.own(time.Now()).PrefillTime; got != 0 {
 			t.Errorf("%s are left to read at the engine that was idle, want none", got)
 		}
 	})
--- a/loadshare/board_test.go
+++ b/loadshare/board_test.go
@@ -12,7 +12,7 @@
 
 func TestReportKeepsItsContent(t *testing.T) {
 	want := Report{Sender: 7, Sequence: 9, Full: true, Loads: map[Key]Load{
-		KeyOf("a"): {Streams: 4, Tight: 2, Late: 1, Reading: 150 * time.Millisecond, Held: 4 * heldUnit, Leading: 1, Helping: 5, Suspicions: 1, Failing: 1, Pace: 40},
+		KeyOf("a"): {Streams: 4, Tight: 2, Late: 1, PrefillTime: 150 * time.Millisecond, Held: 4 * heldUnit, Leading: 1, Helping: 5, Suspicions: 1, Failing: 1, Pace: 40},
 		KeyOf("b"): {Streams: 1},
 	}}
 	got, err := Decode(want.Encode())
@@ -116,12 +116,12 @@
 	// later the engine has prefilled it, but the answer still waits for other engines. Instances
 	// that rely on the outdated report would skip an idle engine.
 	board := NewBoard()
-	board.Take(start, &Report{Sender: 1, Sequence: 1, Loads: map[Key]Load{5: {Streams: 1, Reading: 300 * time.Millisecond}}})
-	board.Take(start, &Report{Sender: 2, Sequence: 1, Loads: map[Key]Load{5: {Streams: 1, Reading: 400 * time.Millisecond}}})
-	if got := board.Load(start.Add(100*time.Millisecond), 5); got.Reading != 300*time.Millisecond {
-		t.Errorf("after 100 ms %s of prefill are left, want the later end, in 300 ms", got.Reading)
+	board.Take(start, &Report{Sender: 1, Sequence: 1, Loads: map[Key]Load{5: {Streams: 1, PrefillTime: 300 * time.Millisecond}}})
+	board.Take(start, &Report{Sender: 2, Sequence: 1, Loads: map[Key]Load{5: {Streams: 1, PrefillTime: 400 * time.Millisecond}}})
+	if got := board.Load(start.Add(100*time.Millisecond), 5); got.PrefillTime != 300*time.Millisecond {
+		t.Errorf("after 100 ms %s of prefill are left, want the later end, in 300 ms", got.PrefillTime)
 	}
-	if got := board.Load(start.Add(500*time.Millisecond), 5); got.Reading != 0 || got.Streams != 2 {
+	if got := board.Load(start.Add(500*time.Millisecond), 5); got.PrefillTime != 0 || got.Streams != 2 {
 		t.Errorf("after 500 ms the load is %+v, want two streams and no prefill", got)
 	}
 }
@@ -130,13 +130,13 @@
 	// The remaining prefill time shrinks by itself. If that were reported, each instance would
 	// continuously send datagrams to all others.
 	reporter := NewReporter(1)
-	load := Load{Streams: 1, Reading: 300 * time.Millisecond}
+	load := Load{Streams: 1, PrefillTime: 300 * time.Millisecond}
 	reporter.Next(start, map[Key]Load{5: load})
 	at := start.Add(150 * time.Millisecond)
 	if r := reporter.Next(at, map[Key]Load{5: load.After(150 * time.Millisecond)}); r != nil {
 		t.Errorf("reported %+v", r.Loads)
 	}
-	if r := reporter.Next(at, map[Key]Load{5: {Streams: 1}}); r == nil || r.Loads[5].Reading != 0 {
+	if r := reporter.Next(at, map[Key]Load{5: {Streams: 1}}); r == nil || r.Loads[5].PrefillTime != 0 {
 		t.Error("an engine that becomes free earlier was not reported")
 	}
 }
--- a/loadshare/report.go
+++ b/loadshare/report.go
@@ -50,7 +50,7 @@
 		data = binary.LittleEndian.AppendUint64(data, uint64(key))
 		data = append(data, clamp8(load.Streams), clamp8(load.Tight), clamp8(load.Leading), clamp8(load.Helping),
 			clamp4(load.Suspicions)+clamp4(load.Failing)*failingUnit, clamp8(load.Pace), clamp8(load.Late))
-		data = binary.LittleEndian.AppendUint16(data, clamp16(load.Reading.Milliseconds()))
+		data = binary.LittleEndian.AppendUint16(data, clamp16(load.PrefillTime.Milliseconds()))
 		data = binary.LittleEndian.AppendUint16(data, clamp16(int64((load.Held+heldUnit-1)/heldUnit)))
 	}
 	return data
@@ -70,16 +70,16 @@
 	}
 	for rest := body[headerBytes:]; len(rest) > 0; rest = rest[loadBytes:] {
 		r.Loads[Key(binary.LittleEndian.Uint64(rest))] = Load{
-			Streams:    int(rest[8]),
-			Tight:      int(rest[9]),
-			Leading:    int(rest[10]),
-			Helping:    int(rest[11]),
-			Suspicions: int(rest[12]) % failingUnit,
-			Failing:    int(rest[12]) / failingUnit,
-			Pace:       int(rest[13]),
-			Late:       int(rest[14]),
-			Reading:    time.Duration(binary.LittleEndian.Uint16(rest[15:])) * time.Millisecond,
-			Held:       int(binary.LittleEndian.Uint16(rest[17:])) * heldUnit,
+			Streams:     int(rest[8]),
+			Tight:       int(rest[9]),
+			Leading:     int(rest[10]),
+			Helping:     int(rest[11]),
+			Suspicions:  int(rest[12]) % failingUnit,
+			Failing:     int(rest[12]) / failingUnit,
+			Pace:        int(rest[13]),
+			Late:        int(rest[14]),
+			PrefillTime: time.Duration(binary.LittleEndian.Uint16(rest[15:])) * time.Millisecond,
+			Held:        int(binary.LittleEndian.Uint16(rest[17:])) * heldUnit,
 		}
 	}
 	return r, nil
--- a/placement/burst_test.go
+++ b/placement/burst_test.go
@@ -85,7 +85,7 @@
 	r := newReplay(60)
 	for i := range r.engines {
 		if i >= 12 {
-			r.engines[i] = loadshare.Load{Streams: 1, Reading: 500 * time.Millisecond}
+			r.engines[i] = loadshare.Load{Streams: 1, PrefillTime: 500 * time.Millisecond}
 		}
 	}
 	r.run(400, 700)
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -54,7 +54,7 @@
 func summarise(engines []Engine, usable []int) Seen {
 	s := Seen{Engines: len(usable)}
 	for _, i := range usable {
-		s.Backlog += engines[i].Load.Reading / time.Duration(len(usable))
+		s.Backlog += engines[i].Load.PrefillTime / time.Duration(len(usable))
 		if engines[i].Load.Tight > 0 {
 			s.Tight++
 		}
@@ -105,6 +105,6 @@
 // before it, its own prefill, the rest of the current pass and its own first pass.
 func predictFirstEvent(p *settings.EngineProfile, e *Engine, prefill time.Duration) time.Duration {
 	pass := passTime(p, e.Load.Streams)
-	before := max(e.Load.Reading, time.Duration(e.Load.Leading)*typicalShortPrefill(p))
+	before := max(e.Load.PrefillTime, time.Duration(e.Load.Leading)*typicalShortPrefill(p))
 	return slotWait(p, e.Load.Streams) + min(before, maxPassPrefill(p)) + prefill + pass/2 + passTime(p, e.Load.Streams+1)
 }
--- a/placement/lead.go
+++ b/placement/lead.go
@@ -63,7 +63,7 @@
 			continue
 		}
 		rank := leadRank(p, &e.Load, part)
-		if best < 0 || rank < bestRank || rank == bestRank && e.Load.Reading < engines[best].Load.Reading {
+		if best < 0 || rank < bestRank || rank == bestRank && e.Load.PrefillTime < engines[best].Load.PrefillTime {
 			best, bestRank = i, rank
 		}
 	}
@@ -75,7 +75,7 @@
 	switch {
 	case load.Tight > 0:
 		return 3
-	case load.Reading+part > minLoosePause(p):
+	case load.PrefillTime+part > minLoosePause(p):
 		return 2
 	case load.Streams == 0:
 		return 1
--- a/placement/option.go
+++ b/placement/option.go
@@ -31,10 +31,10 @@
 // for more already are late anyway. Streams with long pauses count as much as the call itself.
 func streamHarm(p *settings.EngineProfile, load *loadshare.Load, part time.Duration, value float64) float64 {
 	harm := 0.0
-	if load.Reading <= maxSpacedPart(p) && load.Reading+part > maxSpacedPart(p) {
+	if load.PrefillTime <= maxSpacedPart(p) && load.PrefillTime+part > maxSpacedPart(p) {
 		harm += float64(load.Tight) * tightStreamValue(p)
 	}
-	if load.Reading <= minLoosePause(p) && load.Reading+part > minLoosePause(p) {
+	if load.PrefillTime <= minLoosePause(p) && load.PrefillTime+part > minLoosePause(p) {
 		harm += float64(looseStreams(load)) * value
 	}
 	return harm
--- a/placement/pack.go
+++ b/placement/pack.go
@@ -32,7 +32,7 @@
 		if len(helpers) < k-1 {
 			break
 		}
-		first := engines[lead].Load.Reading + part + 2*passTime(p, engines[lead].Load.Streams+1)
+		first := engines[lead].Load.PrefillTime + part + 2*passTime(p, engines[lead].Load.Streams+1)
 		if best.Part == 0 || first < best.FirstEvent {
 			best = Plan{Lead: lead, Helpers: helpers[:k-1], Part: part, FirstEvent: first}
 		}
--- a/placement/packing.go
+++ b/placement/packing.go
@@ -47,7 +47,7 @@
 	tight, prefill := 0, time.Duration(0)
 	for _, i := range usable {
 		tight += engines[i].Load.Tight
-		prefill += engines[i].Load.Reading
+		prefill += engines[i].Load.PrefillTime
 	}
 	mean := prefill / time.Duration(max(1, len(usable)))
 	pressure := longPromptPressure(p, mean)
@@ -73,7 +73,7 @@
 		if at >= width && len(open) >= minCandidates {
 			break
 		}
-		if e := &engines[i]; !e.HelpOnly && hasRoom(p, e, call) && e.Load.Reading+part <= maxShortPrefill(p) && e.Load.Leading < maxLeading {
+		if e := &engines[i]; !e.HelpOnly && hasRoom(p, e, call) && e.Load.PrefillTime+part <= maxShortPrefill(p) && e.Load.Leading < maxLeading {
 			open = append(open, i)
 		}
 	}
--- a/placement/prompt_test.go
+++ b/placement/prompt_test.go
@@ -44,9 +44,9 @@
 		lead.Tight++
 	}
 	lead.Held += call.Prompt + call.Answer
-	lead.Reading += plan.Part + plan.Apart
+	lead.PrefillTime += plan.Part + plan.Apart
 	for _, i := range plan.Helpers {
-		engines[i].Load.Reading += plan.Part + plan.Apart
+		engines[i].Load.PrefillTime += plan.Part + plan.Apart
 		engines[i].Load.Helping++
 	}
 }
@@ -61,7 +61,7 @@
 			t.Fatal("a short prompt was rejected")
 		}
 		addPlan(engines, &plan, &shortCall)
-		engines[plan.Lead].Load.Reading, engines[plan.Lead].Load.Leading = 0, 0 // prefilled before the next prompt arrives
+		engines[plan.Lead].Load.PrefillTime, engines[plan.Lead].Load.Leading = 0, 0 // prefilled before the next prompt arrives
 	}
 	used := 0
 	for i := range engines {
@@ -101,21 +101,21 @@
 		}
 	}
 	addPlan(engines, &Plan{Lead: 0}, &shortCall)
-	engines[0].Load.Reading, engines[0].Load.Leading = 0, 0
+	engines[0].Load.PrefillTime, engines[0].Load.Leading = 0, 0
 	plan, found := Prompt(testProfile, engines, &tightLong)
 	if !found && plan.Wait == 0 {
 		t.Fatal("the prompt was rejected")
 	}
 	for i := range engines {
 		if !found && i > 2 && i < 8 { // five engines have prefilled their parts
-			engines[i].Load.Reading, engines[i].Load.Leading, engines[i].Load.Helping = 0, 0, 0
+			engines[i].Load.PrefillTime, engines[i].Load.Leading, engines[i].Load.Helping = 0, 0, 0
 		}
 	}
 	if plan, found = Prompt(testProfile, engines, &tightLong); !found {
 		t.Fatalf("plan %+v: rejected although five engines are free", plan)
 	}
-	if engines[plan.Lead].Load.Reading+plan.Part > maxShortPrefill(testProfile) {
-		t.Errorf("the stream is on engine %d, which has %s of prefill queued besides the part of %s", plan.Lead, engines[plan.Lead].Load.Reading, plan.Part)
+	if engines[plan.Lead].Load.PrefillTime+plan.Part > maxShortPrefill(testProfile) {
+		t.Errorf("the stream is on engine %d, which has %s of prefill queued besides the part of %s", plan.Lead, engines[plan.Lead].Load.PrefillTime, plan.Part)
 	}
 }
 
@@ -211,7 +211,7 @@
 	// long. It waits, but not for longer than half of its objective.
 	engines := testEngines(16)
 	for i := range engines {
-		engines[i].Load = loadshare.Load{Streams: 2, Leading: 1, Reading: 300 * time.Millisecond}
+		engines[i].Load = loadshare.Load{Streams: 2, Leading: 1, PrefillTime: 300 * time.Millisecond}
 		if i < 2 {
 			engines[i].Load = loadshare.Load{Streams: 6, Tight: 6}
 		}
@@ -246,13 +246,13 @@
 	engines := testEngines(8)
 	for i := range engines {
 		if i < 5 {
-			engines[i].Load.Reading = time.Second
+			engines[i].Load.PrefillTime = time.Second
 		}
 	}
 	plan, found := Prompt(testProfile, engines, &tightLong)
 	if found {
 		for _, i := range plan.Helpers {
-			if engines[i].Load.Reading > maxTightPart(testProfile) {
+			if engines[i].Load.PrefillTime > maxTightPart(testProfile) {
 				t.Errorf("engine %d has a second of prefill queued before its part of %s", i, plan.Part)
 			}
 		}
@@ -311,8 +311,8 @@
 	second, found := Prompt(testProfile, engines, &longCall)
 	if found {
 		for _, i := range append([]int{second.Lead}, second.Helpers...) {
-			if engines[i].Load.Reading > maxFreePrefill(testProfile) {
-				t.Errorf("engine %d gets a part while it has %s of prefill queued", i, engines[i].Load.Reading)
+			if engines[i].Load.PrefillTime > maxFreePrefill(testProfile) {
+				t.Errorf("engine %d gets a part while it has %s of prefill queued", i, engines[i].Load.PrefillTime)
 			}
 		}
 	} else if second.Wait == 0 || second.Wait > first.Part {
@@ -342,7 +342,7 @@
 	for i := range 12 {
 		engines[i].Load.Helping = 1
 	}
-	engines[12].Load = loadshare.Load{Streams: 1, Leading: 1, Reading: 2 * time.Second}
+	engines[12].Load = loadshare.Load{Streams: 1, Leading: 1, PrefillTime: 2 * time.Second}
 	if plan, found := Prompt(testProfile, engines, &longCall); !found || len(plan.Helpers) == 0 {
 		t.Errorf("plan %+v (%t), want it to be prefilled at once by idle engines", plan, found)
 	}
@@ -375,7 +375,7 @@
 		t.Errorf("plan %+v (%t), want it to be prefilled at once", plan, found)
 	}
 	for i := range engines {
-		engines[i].Load = loadshare.Load{Streams: 1, Leading: 1, Reading: 500 * time.Millisecond}
+		engines[i].Load = loadshare.Load{Streams: 1, Leading: 1, PrefillTime: 500 * time.Millisecond}
 	}
 	if plan, found := Prompt(testProfile, engines, &failed); found || plan.Wait > 0 {
 		t.Errorf("plan %+v (%t), want a rejection while no engine is free", plan, found)
@@ -392,7 +392,7 @@
 		t.Errorf("plan %+v: rejected although all engines are idle", plan)
 	}
 	for i := range engines {
-		engines[i].Load = loadshare.Load{Streams: 1, Leading: 1, Reading: 500 * time.Millisecond}
+		engines[i].Load = loadshare.Load{Streams: 1, Leading: 1, PrefillTime: 500 * time.Millisecond}
 	}
 	if plan, found := Prompt(testProfile, engines, &overdue); found || plan.Wait > 0 {
 		t.Errorf("plan %+v (%t), want a rejection", plan, found)
@@ -424,7 +424,7 @@
 		plan, found := Prompt(testProfile, engines, &tightLong)
 		if !found && plan.Wait > 0 {
 			for i := range engines {
-				engines[i].Load.Reading = 0 // all parts have been prefilled meanwhile
+				engines[i].Load.PrefillTime = 0 // all parts have been prefilled meanwhile
 			}
 			plan, found = Prompt(testProfile, engines, &tightLong)
 		}
@@ -432,7 +432,7 @@
 			t.Fatalf("engines %v help engine %d (%t), engine 5 leads a prompt, engine 6 helps many", plan.Helpers, plan.Lead, found)
 		}
 		for _, i := range plan.Helpers {
-			engines[i].Load.Reading += plan.Part // makes the next plan use other engines
+			engines[i].Load.PrefillTime += plan.Part // makes the next plan use other engines
 		}
 	}
 }
@@ -450,7 +450,7 @@
 			t.Fatal("a short prompt was rejected")
 		}
 		addPlan(engines, &plan, &call)
-		engines[plan.Lead].Load.Reading, engines[plan.Lead].Load.Leading = 0, 0
+		engines[plan.Lead].Load.PrefillTime, engines[plan.Lead].Load.Leading = 0, 0
 	}
 	without := 0
 	for i := range engines {
@@ -510,7 +510,7 @@
 	for i := range engines {
 		engines[i].Load = loadshare.Load{Streams: 4, Tight: 4}
 		if i >= 3 {
-			engines[i].Load.Reading = 150 * time.Millisecond
+			engines[i].Load.PrefillTime = 150 * time.Millisecond
 		}
 	}
 	long := longCall
@@ -537,7 +537,7 @@
 	// back, the caller would learn of it only at its deadline.
 	engines := testEngines(3)
 	for i := range engines {
-		engines[i].Load = loadshare.Load{Streams: 3, Reading: 30 * time.Second}
+		engines[i].Load = loadshare.Load{Streams: 3, PrefillTime: 30 * time.Second}
 	}
 	if plan, found := Prompt(testProfile, engines, &longCall); found {
 		t.Errorf("accepted with plan %+v", plan)
@@ -575,9 +575,9 @@
 		engines := testEngines(rapid.IntRange(0, 24).Draw(t, "engines"))
 		for i := range engines {
 			engines[i].Load = loadshare.Load{
-				Streams: rapid.IntRange(0, 20).Draw(t, "streams"),
-				Reading: time.Duration(rapid.IntRange(0, 3000).Draw(t, "reading")) * time.Millisecond,
-				Held:    rapid.IntRange(0, 405_000).Draw(t, "held"),
+				Streams:     rapid.IntRange(0, 20).Draw(t, "streams"),
+				PrefillTime: time.Duration(rapid.IntRange(0, 3000).Draw(t, "reading")) * time.Millisecond,
+				Held:        rapid.IntRange(0, 405_000).Draw(t, "held"),
 			}
 			engines[i].Load.Tight = rapid.IntRange(0, engines[i].Load.Streams).Draw(t, "tight")
 			engines[i].Avoid = rapid.Bool().Draw(t, "avoid")
@@ -610,7 +610,7 @@
 	for _, n := range []int{14, 78, 600} {
 		engines := testEngines(n)
 		for i := range engines {
-			engines[i].Load = loadshare.Load{Streams: i % 14, Tight: i % 3, Reading: time.Duration(i%7) * 30 * time.Millisecond}
+			engines[i].Load = loadshare.Load{Streams: i % 14, Tight: i % 3, PrefillTime: time.Duration(i%7) * 30 * time.Millisecond}
 		}
 		for name, call := range map[string]*Call{"short": &shortCall, "long": &longCall} {
 			b.Run(fmt.Sprintf("%s/%d", name, n), func(b *testing.B) {
--- a/placement/scale_test.go
+++ b/placement/scale_test.go
@@ -28,7 +28,7 @@
 func (s timeScale) engines(engines []Engine) []Engine {
 	stretched := slices.Clone(engines)
 	for i := range stretched {
-		stretched[i].Load.Reading *= time.Duration(s)
+		stretched[i].Load.PrefillTime *= time.Duration(s)
 	}
 	return stretched
 }
@@ -78,7 +78,7 @@
 		load := loadshare.Load{Streams: random.IntN(14), Held: random.IntN(testProfile.MemoryTokens), Leading: random.IntN(2)}
 		load.Tight = random.IntN(load.Streams + 1)
 		load.Late = random.IntN(load.Streams - load.Tight + 1)
-		load.Reading = time.Duration(random.IntN(1+busy)) * time.Millisecond * time.Duration(random.IntN(2))
+		load.PrefillTime = time.Duration(random.IntN(1+busy)) * time.Millisecond * time.Duration(random.IntN(2))
 		engines[i].Load = load
 	}
 	return engines
--- a/placement/selection.go
+++ b/placement/selection.go
@@ -17,7 +17,7 @@
 	candidates := slices.Clone(usable)
 	slices.SortStableFunc(candidates, func(a, b int) int {
 		x, y := &engines[a].Load, &engines[b].Load
-		return cmp.Or(cmp.Compare(x.Tight, y.Tight), cmp.Compare(x.Reading, y.Reading), cmp.Compare(x.Streams, y.Streams))
+		return cmp.Or(cmp.Compare(x.Tight, y.Tight), cmp.Compare(x.PrefillTime, y.PrefillTime), cmp.Compare(x.Streams, y.Streams))
 	})
 	return candidates
 }
@@ -28,7 +28,7 @@
 func freeEngines(p *settings.EngineProfile, engines []Engine, candidates []int) []int {
 	free := make([]int, 0, len(candidates))
 	for _, i := range candidates {
-		if load := &engines[i].Load; load.Reading <= maxFreePrefill(p) && load.Leading == 0 {
+		if load := &engines[i].Load; load.PrefillTime <= maxFreePrefill(p) && load.Leading == 0 {
 			free = append(free, i)
 		}
 	}
@@ -69,13 +69,13 @@
 func partHelpers(p *settings.EngineProfile, engines []Engine, candidates []int, lead int) []int {
 	helpers := make([]int, 0, len(candidates))
 	for _, i := range eligibleHelpers(p, engines, candidates, lead) {
-		if engines[i].Load.Reading <= maxTightPart(p) {
+		if engines[i].Load.PrefillTime <= maxTightPart(p) {
 			helpers = append(helpers, i)
 		}
 	}
 	slices.SortStableFunc(helpers, func(a, b int) int {
 		x, y := &engines[a].Load, &engines[b].Load
-		return cmp.Or(cmp.Compare(x.Tight, y.Tight), cmp.Compare(x.Streams, y.Streams), cmp.Compare(x.Reading, y.Reading))
+		return cmp.Or(cmp.Compare(x.Tight, y.Tight), cmp.Compare(x.Streams, y.Streams), cmp.Compare(x.PrefillTime, y.PrefillTime))
 	})
 	return helpers
 }
--- a/placement/spread.go
+++ b/placement/spread.go
@@ -88,7 +88,7 @@
 func planRetry(p *settings.EngineProfile, engines []Engine, candidates []int, call *Call, prefill, limit time.Duration) (Plan, bool) {
 	ends := make([]time.Duration, 0, len(candidates))
 	for _, i := range candidates {
-		ends = append(ends, engines[i].Load.Reading+call.Ahead)
+		ends = append(ends, engines[i].Load.PrefillTime+call.Ahead)
 	}
 	slices.Sort(ends)
 	plan := Plan{Part: prefill, FirstEvent: earliestEnd(ends) + prefill}
