--- a/forward/place_limited.go
+++ b/forward/place_limited.go
@@ -32,7 +32,7 @@
 	}
 	call := x.placementCall(now)
 	for i, n := range open.nodes {
-		if plan, found := placement.Alone(x.service.Engine, &open.engines[i], call); found {
+		if plan, found := placement.PromptOnEngine(x.service.Engine, &open.engines[i], call); found {
 			x.predicted, x.readers, x.seen = plan.FirstEvent, 1, plan.Seen
 			x.tries++
 			return x.newWork(n, plan.Part)
--- a/placement/alone.go
+++ b/placement/alone.go
@@ -2,9 +2,9 @@
 
 import "celeryport/settings"
 
-// Alone plans a short prompt on one engine, without helpers. It returns false if the engine has
+// PromptOnEngine plans a short prompt on one engine, without helpers. It returns false if the engine has
 // no room or if another engine should get the prompt.
-func Alone(p *settings.EngineProfile, e *Engine, call *Call) (Plan, bool) {
+func PromptOnEngine(p *settings.EngineProfile, e *Engine, call *Call) (Plan, bool) {
 	prefill := PrefillTime(p, call.Prompt)
 	if e.Avoid || e.Tried || e.HelpOnly || prefill > maxShortPrefill(p) || !hasRoom(p, e, call) {
 		return Plan{}, false
