--- a/arbiter/queue.go
+++ b/arbiter/queue.go
@@ -178,7 +178,7 @@
 		fleet.Engines[i].HelpOnly = !w.ask.mayLead(key)
 	}
 	plan, found := placement.Prompt(fleet.Profile, fleet.Engines, call)
-	answer := &Answer{ID: w.ask.ID, Part: plan.Part + plan.Apart, FirstEvent: plan.FirstEvent, Excess: plan.Excess, Age: w.age, Seen: plan.Seen}
+	answer := &Answer{ID: w.ask.ID, Part: plan.Part + plan.Spacing, FirstEvent: plan.FirstEvent, Excess: plan.Excess, Age: w.age, Seen: plan.Seen}
 	switch {
 	case plan.Wait > 0:
 		answer.Decision = Waiting
--- a/forward/place.go
+++ b/forward/place.go
@@ -277,7 +277,7 @@
 	if !found {
 		return nil, 0, x.hopeless(plan.FirstEvent, plan.Excess)
 	}
-	w := x.newWork(nodes[plan.Lead], plan.Part+plan.Apart)
+	w := x.newWork(nodes[plan.Lead], plan.Part+plan.Spacing)
 	for _, at := range plan.Helpers {
 		w.helpers = append(w.helpers, nodes[at])
 	}
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -36,7 +36,7 @@
 	Lead       int           // index of the engine that decodes the answer
 	Helpers    []int         // indexes of the engines that prefill one part each
 	Part       time.Duration // prefill time of the part on the lead engine and on each helper
-	Apart      time.Duration // idle time after a part until the engine may start the next one
+	Spacing    time.Duration // idle time after a part until the engine may start the next one
 	Reserved   []Reserved    // memory reserved on helpers, in the order in which it is filled
 	FirstEvent time.Duration // predicted time from now to the first event
 	Excess     time.Duration // for a rejected call: how much its first event would be too late
--- a/placement/prompt_test.go
+++ b/placement/prompt_test.go
@@ -44,9 +44,9 @@
 		lead.Tight++
 	}
 	lead.Held += call.Prompt + call.Answer
-	lead.PrefillTime += plan.Part + plan.Apart
+	lead.PrefillTime += plan.Part + plan.Spacing
 	for _, i := range plan.Helpers {
-		engines[i].Load.PrefillTime += plan.Part + plan.Apart
+		engines[i].Load.PrefillTime += plan.Part + plan.Spacing
 		engines[i].Load.Helping++
 	}
 }
--- a/placement/spread.go
+++ b/placement/spread.go
@@ -79,7 +79,7 @@
 	}
 	plan := best.plan
 	plan.FirstEvent = plan.Part + 2*passTime(p, engines[plan.Lead].Load.Streams+1)
-	plan.Apart = partSpacing(p, engines, &plan)
+	plan.Spacing = partSpacing(p, engines, &plan)
 	return plan, best.harm <= tolerableHarm(call)
 }
 
