--- a/forward/place.go
+++ b/forward/place.go
@@ -254,7 +254,7 @@
 		Answer:    x.call.AnswerTokens,
 		Objective: objective,
 		LongPause: x.longPause(),
-		Left:      x.deadline.Sub(now),
+		Remaining: x.deadline.Sub(now),
 		Waited:    waited,
 	}
 }
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -24,7 +24,7 @@
 	Answer    int           // maximum answer length in tokens
 	Objective time.Duration // maximum time to the first event
 	LongPause time.Duration // maximum pause between two events
-	Left      time.Duration // time until the caller gives up or times out
+	Remaining time.Duration // time until the caller gives up or times out
 	Waited    time.Duration // time since the caller first sent it, as far as known
 	Age       time.Duration // the part of Waited that passed before it reached this instance
 	Ahead     time.Duration // prefill time per engine of the waiting calls ordered before this one
--- a/placement/prompt.go
+++ b/placement/prompt.go
@@ -95,7 +95,7 @@
 	plan := Plan{Part: prefill}
 	usable = slices.DeleteFunc(slices.Clone(usable), func(i int) bool { return engines[i].HelpOnly })
 	if p.MemoryTokens > 0 && call.Prompt+call.Answer > p.MemoryTokens || len(usable) == 0 {
-		return Plan{Excess: call.Left}, false // no engine alone can ever hold it
+		return Plan{Excess: call.Remaining}, false // no engine alone can ever hold it
 	}
 	first := func(i int) time.Duration {
 		e := engines[i]
@@ -110,9 +110,9 @@
 	}
 	plan.Lead, plan.FirstEvent = a, first(a)
 	if engines[plan.Lead].Load.Streams < p.Slots {
-		return acceptWithin(plan, call.Left) // late, but on an engine where no other call would be in time
+		return acceptWithin(plan, call.Remaining) // late, but on an engine where no other call would be in time
 	}
-	return acceptWithin(plan, min(call.Left, call.Objective))
+	return acceptWithin(plan, min(call.Remaining, call.Objective))
 }
 
 // earliestDivisor sets the group from which planEarliest picks: one in so many engines, enough
--- a/placement/prompt_test.go
+++ b/placement/prompt_test.go
@@ -30,9 +30,9 @@
 }
 
 var (
-	shortCall = Call{Prompt: 5_000, Answer: 1_300, Objective: 300 * time.Millisecond, LongPause: 250 * time.Millisecond, Left: 10 * time.Second}
-	longCall  = Call{Prompt: 182_000, Answer: 650, Objective: 4 * time.Second, LongPause: time.Second, Left: 15 * time.Second}
-	tightLong = Call{Prompt: 45_000, Answer: 780, Objective: 1500 * time.Millisecond, LongPause: 600 * time.Millisecond, Left: 10 * time.Second}
+	shortCall = Call{Prompt: 5_000, Answer: 1_300, Objective: 300 * time.Millisecond, LongPause: 250 * time.Millisecond, Remaining: 10 * time.Second}
+	longCall  = Call{Prompt: 182_000, Answer: 650, Objective: 4 * time.Second, LongPause: time.Second, Remaining: 15 * time.Second}
+	tightLong = Call{Prompt: 45_000, Answer: 780, Objective: 1500 * time.Millisecond, LongPause: 600 * time.Millisecond, Remaining: 10 * time.Second}
 )
 
 // addPlan adds a planned call to the loads, as instances do.
@@ -139,7 +139,7 @@
 	// rejected.
 	engines := testEngines(3)
 	huge := longCall
-	huge.Prompt, huge.Objective, huge.Left = 900_000, time.Minute, 2*time.Minute
+	huge.Prompt, huge.Objective, huge.Remaining = 900_000, time.Minute, 2*time.Minute
 	plan, found := Prompt(testProfile, engines, &huge)
 	if !found || len(plan.Helpers) != 2 {
 		t.Errorf("engines %v help (%t), want both other engines", plan.Helpers, found)
@@ -369,9 +369,9 @@
 func TestPromptsThatFailedLateGoToFreeEngines(t *testing.T) {
 	engines := testEngines(17)
 	failed := longCall
-	failed.Waited, failed.Left = failed.Objective, 11*time.Second
+	failed.Waited, failed.Remaining = failed.Objective, 11*time.Second
 	plan, found := Prompt(testProfile, engines, &failed)
-	if !found || plan.FirstEvent > failed.Left/2 {
+	if !found || plan.FirstEvent > failed.Remaining/2 {
 		t.Errorf("plan %+v (%t), want it to be prefilled at once", plan, found)
 	}
 	for i := range engines {
--- a/placement/scale_test.go
+++ b/placement/scale_test.go
@@ -34,7 +34,7 @@
 }
 
 func (s timeScale) call(call Call) *Call {
-	for _, t := range []*time.Duration{&call.Objective, &call.LongPause, &call.Left, &call.Waited, &call.Age, &call.Ahead} {
+	for _, t := range []*time.Duration{&call.Objective, &call.LongPause, &call.Remaining, &call.Waited, &call.Age, &call.Ahead} {
 		*t *= time.Duration(s)
 	}
 	return &call
--- a/placement/spread.go
+++ b/placement/spread.go
@@ -34,7 +34,7 @@
 		return plan, true
 	}
 	if Overdue(call) {
-		return Plan{FirstEvent: prefill, Excess: call.Left}, false // waiting would put it behind all calls that can still be in time
+		return Plan{FirstEvent: prefill, Excess: call.Remaining}, false // waiting would put it behind all calls that can still be in time
 	}
 	return planRetry(p, engines, candidates, call, prefill, limit)
 }
@@ -46,9 +46,9 @@
 func firstEventLimit(call *Call) time.Duration {
 	inTime := time.Duration(latestFraction*float64(call.Objective)) - call.Waited
 	if Overdue(call) {
-		return time.Duration(overdueLimitFraction * float64(call.Left))
+		return time.Duration(overdueLimitFraction * float64(call.Remaining))
 	}
-	return min(call.Left, inTime)
+	return min(call.Remaining, inTime)
 }
 
 // Overdue reports whether a call can no longer be answered in time, because it was retried late
