--- a/arbiter/message.go
+++ b/arbiter/message.go
@@ -21,7 +21,7 @@
 	Answer    int             `json:"answer"`
 	Objective time.Duration   `json:"objective"`
 	LongPause time.Duration   `json:"long_pause"`
-	Left      time.Duration   `json:"left"`
+	Remaining time.Duration   `json:"left"`
 	Waited    time.Duration   `json:"waited"`
 	PromptID  uint64          `json:"prompt_id,omitempty"` // the same for all attempts of a caller with one prompt
 	Tried     []loadshare.Key `json:"tried,omitempty"`     // engines that must not be used for it
--- a/arbiter/queue.go
+++ b/arbiter/queue.go
@@ -168,7 +168,7 @@
 		Answer:    w.ask.Answer,
 		Objective: w.ask.Objective,
 		LongPause: w.ask.LongPause,
-		Remaining: w.ask.Left - since,
+		Remaining: w.ask.Remaining - since,
 		Waited:    w.ask.Waited + w.age + since,
 		Age:       w.age,
 		Ahead:     ahead,
--- a/arbiter/queue_test.go
+++ b/arbiter/queue_test.go
@@ -40,7 +40,7 @@
 func newRequest(id string, prompt int) *Ask {
 	return &Ask{
 		ID: id, Service: "model", Prompt: prompt, Answer: 600,
-		Objective: 4 * time.Second, LongPause: time.Second, Left: 15 * time.Second,
+		Objective: 4 * time.Second, LongPause: time.Second, Remaining: 15 * time.Second,
 	}
 }
 
--- a/arbiter/refusals_test.go
+++ b/arbiter/refusals_test.go
@@ -18,7 +18,7 @@
 		t.Fatalf("answers %+v", answers)
 	}
 	again := newRequest("front-2/call-2/0", 600_000)
-	again.PromptID, again.Left = 77, 13*time.Second
+	again.PromptID, again.Remaining = 77, 13*time.Second
 	queue.Take(start.Add(1500*time.Millisecond), again)
 	answers = queue.Step(start.Add(1500*time.Millisecond), w)
 	if len(answers) != 1 || answers[0].Age != 1600*time.Millisecond {
--- a/forward/place.go
+++ b/forward/place.go
@@ -107,7 +107,7 @@
 		Answer:    x.call.AnswerTokens,
 		Objective: objective,
 		LongPause: x.longPause(),
-		Left:      x.deadline.Sub(now),
+		Remaining: x.deadline.Sub(now),
 		Waited:    waited,
 		Tried:     slices.Concat(x.tried, x.barred, x.closedEngines(now)),
 		Leads:     x.mayLead(),
