--- a/forward/candidates.go
+++ b/forward/candidates.go
@@ -43,10 +43,10 @@
 	for i, n := range nodes {
 		load := f.loadOf(now, n)
 		engine := placement.Engine{
-			Load:  load,
-			Order: uint64(n.key),
-			Near:  n.zone == f.options.Process.AvailabilityZone,
-			Avoid: n.health(now, load, f.silent(now, upstreams[i])).avoid(),
+			Load:     load,
+			Order:    uint64(n.key),
+			SameZone: n.zone == f.options.Process.AvailabilityZone,
+			Avoid:    n.health(now, load, f.silent(now, upstreams[i])).avoid(),
 		}
 		switch limited, may := f.limited(now, n); {
 		case !limited:
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -9,11 +9,11 @@
 
 // Engine is the known state of one engine, or of one instance of a plain service.
 type Engine struct {
-	Load  loadshare.Load // combined load of all instances
-	Order uint64         // sort key that is the same on all instances
-	Near  bool           // in the availability zone of this instance
-	Avoid bool           // failed recently or has not reported: last resort
-	Tried bool           // has already received this call
+	Load     loadshare.Load // combined load of all instances
+	Order    uint64         // sort key that is the same on all instances
+	SameZone bool           // in the availability zone of this instance
+	Avoid    bool           // failed recently or has not reported: last resort
+	Tried    bool           // has already received this call
 	// HelpOnly marks an engine that may prefill a part of the prompt but not lead the call.
 	HelpOnly bool
 }
--- a/placement/prompt_test.go
+++ b/placement/prompt_test.go
@@ -550,10 +550,10 @@
 		engines []Engine
 		want    int
 	}{
-		{"the least loaded", []Engine{{Load: loadshare.Load{Streams: 3}, Near: true}, {Load: loadshare.Load{Streams: 1}}}, 1},
-		{"of equal ones the one in the same zone", []Engine{{}, {Near: true}}, 1},
-		{"not one that failed recently", []Engine{{Avoid: true, Near: true}, {Load: loadshare.Load{Streams: 6}}}, 1},
-		{"not one that already received the call", []Engine{{Tried: true, Near: true}, {Avoid: true}}, 1},
+		{"the least loaded", []Engine{{Load: loadshare.Load{Streams: 3}, SameZone: true}, {Load: loadshare.Load{Streams: 1}}}, 1},
+		{"of equal ones the one in the same zone", []Engine{{}, {SameZone: true}}, 1},
+		{"not one that failed recently", []Engine{{Avoid: true, SameZone: true}, {Load: loadshare.Load{Streams: 6}}}, 1},
+		{"not one that already received the call", []Engine{{Tried: true, SameZone: true}, {Avoid: true}}, 1},
 		{"the only one, although it failed", []Engine{{Tried: true, Avoid: true}}, 0},
 	}
 	for _, test := range tests {
--- a/placement/service.go
+++ b/placement/service.go
@@ -38,7 +38,7 @@
 
 func serviceCost(e *Engine, at int, draw float64) float64 {
 	cost := float64(e.Load.Streams)
-	if !e.Near {
+	if !e.SameZone {
 		cost += crossZoneCost
 	}
 	if e.Avoid {
