--- a/arbiter/message.go
+++ b/arbiter/message.go
@@ -14,24 +14,24 @@
 // Ask is a request to place a prompt. It is sent again and again until the answer arrives; Left
 // and Waited are as of each transmission and count for this attempt alone.
 type Ask struct {
-	ID        string          `json:"id"`               // of the call and the attempt
-	Before    string          `json:"before,omitempty"` // ID of the call's earlier request whose placement could not be used
-	Service   string          `json:"service"`
-	Prompt    int             `json:"prompt"`
-	Answer    int             `json:"answer"`
-	Objective time.Duration   `json:"objective"`
-	LongPause time.Duration   `json:"long_pause"`
-	Remaining time.Duration   `json:"left"`
-	Waited    time.Duration   `json:"waited"`
-	PromptID  uint64          `json:"prompt_id,omitempty"` // the same for all attempts of a caller with one prompt
-	Tried     []loadshare.Key `json:"tried,omitempty"`     // engines that must not be used for it
-	Leads     []loadshare.Key `json:"leads,omitempty"`     // engines that may lead it; empty: any
-	Refused   []loadshare.Key `json:"refused,omitempty"`   // engines that refused to help with it
+	ID             string          `json:"id"`               // of the call and the attempt
+	Before         string          `json:"before,omitempty"` // ID of the call's earlier request whose placement could not be used
+	Service        string          `json:"service"`
+	Prompt         int             `json:"prompt"`
+	Answer         int             `json:"answer"`
+	Objective      time.Duration   `json:"objective"`
+	LongPause      time.Duration   `json:"long_pause"`
+	Remaining      time.Duration   `json:"left"`
+	Waited         time.Duration   `json:"waited"`
+	PromptID       uint64          `json:"prompt_id,omitempty"` // the same for all attempts of a caller with one prompt
+	Tried          []loadshare.Key `json:"tried,omitempty"`     // engines that must not be used for it
+	LeadCandidates []loadshare.Key `json:"leads,omitempty"`     // engines that may lead it; empty: any
+	Refused        []loadshare.Key `json:"refused,omitempty"`   // engines that refused to help with it
 }
 
 // mayLead reports whether an engine may lead the prompt.
 func (a *Ask) mayLead(key loadshare.Key) bool {
-	return len(a.Leads) == 0 || slices.Contains(a.Leads, key)
+	return len(a.LeadCandidates) == 0 || slices.Contains(a.LeadCandidates, key)
 }
 
 // Decision is the outcome of a request.
--- a/arbiter/queue_test.go
+++ b/arbiter/queue_test.go
@@ -165,7 +165,7 @@
 func TestOnlyEnginesThatHadTheCallLeadIt(t *testing.T) {
 	queue, w := NewQueue(), &fakeFleets{engines: 18}
 	ask := newRequest("a", 300_000)
-	ask.Leads = []loadshare.Key{17}
+	ask.LeadCandidates = []loadshare.Key{17}
 	queue.Take(start, ask)
 	answers := queue.Step(start, w)
 	if len(answers) != 1 || answers[0].Decision != Placed || answers[0].Lead != 17 || len(answers[0].Helpers) == 0 {
--- a/forward/place.go
+++ b/forward/place.go
@@ -100,18 +100,18 @@
 	now := time.Now()
 	objective, waited := x.nextEvent(now)
 	ask := &arbiter.Ask{
-		ID:        fmt.Sprintf("%s/%s/%d", x.server.options.Process.Name, x.call.ID, x.tries),
-		Before:    x.lastAsk,
-		Service:   x.service.Name,
-		Prompt:    x.call.PromptTokens,
-		Answer:    x.call.AnswerTokens,
-		Objective: objective,
-		LongPause: x.longPause(),
-		Remaining: x.deadline.Sub(now),
-		Waited:    waited,
-		Tried:     slices.Concat(x.tried, x.barred, x.closedEngines(now)),
-		Leads:     x.mayLead(),
-		Refused:   x.refused,
+		ID:             fmt.Sprintf("%s/%s/%d", x.server.options.Process.Name, x.call.ID, x.tries),
+		Before:         x.lastAsk,
+		Service:        x.service.Name,
+		Prompt:         x.call.PromptTokens,
+		Answer:         x.call.AnswerTokens,
+		Objective:      objective,
+		LongPause:      x.longPause(),
+		Remaining:      x.deadline.Sub(now),
+		Waited:         waited,
+		Tried:          slices.Concat(x.tried, x.barred, x.closedEngines(now)),
+		LeadCandidates: x.mayLead(),
+		Refused:        x.refused,
 	}
 	if x.events == 0 {
 		ask.PromptID = x.call.PromptID
--- a/forward/rejection_test.go
+++ b/forward/rejection_test.go
@@ -54,11 +54,11 @@
 		x.noteRejection(&work{lead: &node{key: lead}}, &outcome{reached: true, helper: &node{key: helper}})
 	}
 	reject(1, 7)
-	if ask := x.newAsk(); len(ask.Leads) != 0 || !slices.Equal(ask.Tried, []loadshare.Key{7}) || !slices.Equal(ask.Refused, []loadshare.Key{7}) {
+	if ask := x.newAsk(); len(ask.LeadCandidates) != 0 || !slices.Equal(ask.Tried, []loadshare.Key{7}) || !slices.Equal(ask.Refused, []loadshare.Key{7}) {
 		t.Errorf("after one rejection %+v", ask)
 	}
 	reject(2, 8)
-	if ask := x.newAsk(); !slices.Equal(ask.Leads, []loadshare.Key{1, 2}) || !slices.Equal(ask.Tried, []loadshare.Key{7, 8}) {
+	if ask := x.newAsk(); !slices.Equal(ask.LeadCandidates, []loadshare.Key{1, 2}) || !slices.Equal(ask.Tried, []loadshare.Key{7, 8}) {
 		t.Errorf("after as many engines as the route allows %+v", ask)
 	}
 }
