--- a/arbiter/message.go
+++ b/arbiter/message.go
@@ -15,7 +15,7 @@
 // and Waited are as of each transmission and count for this attempt alone.
 type Ask struct {
 	ID             string          `json:"id"`               // of the call and the attempt
-	Before         string          `json:"before,omitempty"` // ID of the call's earlier request whose placement could not be used
+	Previous       string          `json:"before,omitempty"` // ID of the call's earlier request whose placement could not be used
 	Service        string          `json:"service"`
 	Prompt         int             `json:"prompt"`
 	Answer         int             `json:"answer"`
--- a/forward/arbitration.go
+++ b/forward/arbitration.go
@@ -87,8 +87,8 @@
 
 // takeOutcome learns from a new ask what became of the one before it.
 func (s *Server) takeOutcome(from net.Addr, ask *arbiter.Ask) {
-	if ask.Before != "" {
-		s.fleet.voidGrant(ask.Before)
+	if ask.Previous != "" {
+		s.fleet.voidGrant(ask.Previous)
 	}
 	if from != nil {
 		s.fleet.refusedHelpElsewhere(ask.Refused)
--- a/forward/grant_test.go
+++ b/forward/grant_test.go
@@ -49,7 +49,7 @@
 		s := newTestServer(t, "front-1", "front-1")
 		given := placeFor(t, s, longAsk())
 		next := longAsk()
-		next.ID, next.Before, next.Tried = "front-1/call/1", "front-1/call/0", []loadshare.Key{given.Helpers[0]}
+		next.ID, next.Previous, next.Tried = "front-1/call/1", "front-1/call/0", []loadshare.Key{given.Helpers[0]}
 		s.takeOutcome(&net.UDPAddr{}, next)
 		s.fleet.mu.Lock()
 		defer s.fleet.mu.Unlock()
--- a/forward/place.go
+++ b/forward/place.go
@@ -101,7 +101,7 @@
 	objective, waited := x.nextEvent(now)
 	ask := &arbiter.Ask{
 		ID:             fmt.Sprintf("%s/%s/%d", x.server.options.Process.Name, x.call.ID, x.tries),
-		Before:         x.lastAsk,
+		Previous:       x.lastAsk,
 		Service:        x.service.Name,
 		Prompt:         x.call.PromptTokens,
 		Answer:         x.call.AnswerTokens,
