--- a/arbiter/message.go
+++ b/arbiter/message.go
@@ -11,9 +11,9 @@
 	"celeryport/placement"
 )
 
-// Ask is a request to place a prompt. It is sent again and again until the answer arrives; Left
+// Request is a request to place a prompt. It is sent again and again until the answer arrives; Left
 // and Waited are as of each transmission and count for this attempt alone.
-type Ask struct {
+type Request struct {
 	ID             string          `json:"id"`               // of the call and the attempt
 	Previous       string          `json:"before,omitempty"` // ID of the call's earlier request whose placement could not be used
 	Service        string          `json:"service"`
@@ -30,7 +30,7 @@
 }
 
 // mayLead reports whether an engine may lead the prompt.
-func (a *Ask) mayLead(key loadshare.Key) bool {
+func (a *Request) mayLead(key loadshare.Key) bool {
 	return len(a.LeadCandidates) == 0 || slices.Contains(a.LeadCandidates, key)
 }
 
@@ -69,8 +69,8 @@
 }
 
 // DecodeAsk decodes the payload of a datagram.
-func DecodeAsk(data []byte) (*Ask, error) {
-	var a Ask
+func DecodeAsk(data []byte) (*Request, error) {
+	var a Request
 	if err := json.Unmarshal(data, &a); err != nil {
 		return nil, errors.Wrap(err, "decode placement request")
 	}
--- a/arbiter/queue.go
+++ b/arbiter/queue.go
@@ -22,12 +22,12 @@
 	// Fleet returns the engines of a service, or nil if the service is unknown.
 	Fleet(service string) *Fleet
 	// Granted records a placement, until the requester reports its load itself.
-	Granted(ask *Ask, answer *Answer)
+	Granted(ask *Request, answer *Answer)
 }
 
 // pending is a request without a final answer.
 type pending struct {
-	ask        *Ask
+	ask        *Request
 	receivedAt time.Time
 	prefill    time.Duration // prefill time on one engine
 	age        time.Duration // age of the prompt on arrival of this attempt, if an earlier one was rejected
@@ -79,7 +79,7 @@
 func (q *Queue) Waits() bool { return len(q.pending) > 0 }
 
 // Take adds or refreshes a request. If it was answered already, the answer is returned.
-func (q *Queue) Take(now time.Time, ask *Ask) *Answer {
+func (q *Queue) Take(now time.Time, ask *Request) *Answer {
 	if s, found := q.answered[ask.ID]; found {
 		return s.answer
 	}
@@ -198,7 +198,7 @@
 }
 
 // record adds a placed prompt to the loads of the engines.
-func (f *Fleet) record(answer *Answer, ask *Ask) {
+func (f *Fleet) record(answer *Answer, ask *Request) {
 	for key, load := range answer.Loads(f.Profile, ask) {
 		at := slices.Index(f.Keys, key)
 		prefill := f.Engines[at].Load.PrefillTime + load.PrefillTime
@@ -208,7 +208,7 @@
 }
 
 // Loads returns the load that a placed prompt adds to each of its engines.
-func (a *Answer) Loads(p *settings.EngineProfile, ask *Ask) map[loadshare.Key]loadshare.Load {
+func (a *Answer) Loads(p *settings.EngineProfile, ask *Request) map[loadshare.Key]loadshare.Load {
 	loads := map[loadshare.Key]loadshare.Load{}
 	lead := loadshare.Load{Streams: 1, Leading: 1, PrefillTime: a.Part, Held: ask.Prompt + ask.Answer}
 	if placement.Tight(p, ask.LongPause) {
--- a/arbiter/queue_test.go
+++ b/arbiter/queue_test.go
@@ -35,10 +35,10 @@
 	return fleet
 }
 
-func (w *fakeFleets) Granted(*Ask, *Answer) { w.granted++ }
+func (w *fakeFleets) Granted(*Request, *Answer) { w.granted++ }
 
-func newRequest(id string, prompt int) *Ask {
-	return &Ask{
+func newRequest(id string, prompt int) *Request {
+	return &Request{
 		ID: id, Service: "model", Prompt: prompt, Answer: 600,
 		Objective: 4 * time.Second, LongPause: time.Second, Remaining: 15 * time.Second,
 	}
--- a/forward/arbitration.go
+++ b/forward/arbitration.go
@@ -60,7 +60,7 @@
 
 // takeAsk takes in an ask, answers it if there is an answer, and lets the asker
 // know otherwise that it is heard.
-func (s *Server) takeAsk(from net.Addr, ask *arbiter.Ask) {
+func (s *Server) takeAsk(from net.Addr, ask *arbiter.Request) {
 	a := s.arbitration
 	a.mu.Lock()
 	answer := a.queue.Take(time.Now(), ask)
@@ -86,7 +86,7 @@
 }
 
 // takeOutcome learns from a new ask what became of the one before it.
-func (s *Server) takeOutcome(from net.Addr, ask *arbiter.Ask) {
+func (s *Server) takeOutcome(from net.Addr, ask *arbiter.Request) {
 	if ask.Previous != "" {
 		s.fleet.voidGrant(ask.Previous)
 	}
--- a/forward/arbitration_ask.go
+++ b/forward/arbitration_ask.go
@@ -43,7 +43,7 @@
 
 // askArbiter has a prompt placed. The last return is false when no arbiter answers;
 // a nil answer says that the caller has left.
-func (s *Server) askArbiter(ctx context.Context, service string, ask func() *arbiter.Ask) (*arbiter.Answer, bool) {
+func (s *Server) askArbiter(ctx context.Context, service string, ask func() *arbiter.Request) (*arbiter.Answer, bool) {
 	a := s.arbitration
 	answers := make(chan arbiter.Answer, answersUnread)
 	id := ask().ID
@@ -76,7 +76,7 @@
 
 // askInstance asks one instance until it answers; the last return is false when it
 // says nothing.
-func (s *Server) askInstance(ctx context.Context, chosen *membership.Instance, ask func() *arbiter.Ask, answers chan arbiter.Answer) (*arbiter.Answer, bool) {
+func (s *Server) askInstance(ctx context.Context, chosen *membership.Instance, ask func() *arbiter.Request, answers chan arbiter.Answer) (*arbiter.Answer, bool) {
 	timer := time.NewTicker(askResend)
 	defer timer.Stop()
 	for silent := 0; silent < silentResends; silent++ {
@@ -114,7 +114,7 @@
 	}
 }
 
-func (s *Server) sendAsk(chosen *membership.Instance, ask *arbiter.Ask) {
+func (s *Server) sendAsk(chosen *membership.Instance, ask *arbiter.Request) {
 	if chosen.Name == s.options.Process.Name {
 		s.takeAsk(nil, ask)
 		return
--- a/forward/arbitration_test.go
+++ b/forward/arbitration_test.go
@@ -57,8 +57,8 @@
 	})
 }
 
-func longAsk() *arbiter.Ask {
-	return &arbiter.Ask{
+func longAsk() *arbiter.Request {
+	return &arbiter.Request{
 		ID: "front-1/call/0", Service: "model", Prompt: 180_000, Answer: 600,
 		Objective: 4 * time.Second, LongPause: time.Second, Remaining: 15 * time.Second,
 	}
--- a/forward/arbitration_world.go
+++ b/forward/arbitration_world.go
@@ -48,7 +48,7 @@
 }
 
 // Granted implements arbiter.World.
-func (w *arbiterWorld) Granted(ask *arbiter.Ask, answer *arbiter.Answer) {
+func (w *arbiterWorld) Granted(ask *arbiter.Request, answer *arbiter.Answer) {
 	view := w.server.options.Plane.View()
 	profile := engineProfile(view.Tree, ask.Service)
 	if profile == nil {
--- a/forward/grant_test.go
+++ b/forward/grant_test.go
@@ -13,7 +13,7 @@
 )
 
 // placeFor asks an arbiter for an instance whose reports of loads don't arrive.
-func placeFor(t *testing.T, s *Server, ask *arbiter.Ask) *arbiter.Answer {
+func placeFor(t *testing.T, s *Server, ask *arbiter.Request) *arbiter.Answer {
 	t.Helper()
 	s.arbitration.mu.Lock()
 	s.arbitration.queue.Take(time.Now(), ask)
--- a/forward/place.go
+++ b/forward/place.go
@@ -96,10 +96,10 @@
 }
 
 // newAsk returns the ask for the next send, with the times of now.
-func (x *exchange) newAsk() *arbiter.Ask {
+func (x *exchange) newAsk() *arbiter.Request {
 	now := time.Now()
 	objective, waited := x.nextEvent(now)
-	ask := &arbiter.Ask{
+	ask := &arbiter.Request{
 		ID:             fmt.Sprintf("%s/%s/%d", x.server.options.Process.Name, x.call.ID, x.tries),
 		Previous:       x.lastAsk,
 		Service:        x.service.Name,
