--- a/arbiter/message.go
+++ b/arbiter/message.go
@@ -68,8 +68,8 @@
 	Tokens int           `json:"tokens"`
 }
 
-// DecodeAsk decodes the payload of a datagram.
-func DecodeAsk(data []byte) (*Request, error) {
+// DecodeRequest decodes the payload of a datagram.
+func DecodeRequest(data []byte) (*Request, error) {
 	var a Request
 	if err := json.Unmarshal(data, &a); err != nil {
 		return nil, errors.Wrap(err, "decode placement request")
--- a/forward/reporting.go
+++ b/forward/reporting.go
@@ -109,7 +109,7 @@
 	case datagram.Rates, datagram.RatesToRelay:
 		return s.takeRates(from, kind, content)
 	case datagram.Ask:
-		ask, err := arbiter.DecodeAsk(content)
+		ask, err := arbiter.DecodeRequest(content)
 		if err != nil {
 			return err
 		}
--- a/forward/skew_test.go
+++ b/forward/skew_test.go
@@ -28,7 +28,7 @@
 	if err != nil || kind != datagram.Ask {
 		return len(data), err
 	}
-	ask, err := arbiter.DecodeAsk(content)
+	ask, err := arbiter.DecodeRequest(content)
 	if err != nil {
 		return 0, err
 	}
