--- a/arbiter/queue.go
+++ b/arbiter/queue.go
@@ -17,8 +17,8 @@
 	Engines []placement.Engine
 }
 
-// World supplies the state of the engines to the arbiter and records its placements.
-type World interface {
+// FleetSource supplies the state of the engines to the arbiter and records its placements.
+type FleetSource interface {
 	// Fleet returns the engines of a service, or nil if the service is unknown.
 	Fleet(service string) *Fleet
 	// Granted records a placement, until the requester reports its load itself.
@@ -88,7 +88,7 @@
 }
 
 // Step decides on the pending requests and returns the answers.
-func (q *Queue) Step(now time.Time, source World) []*Answer {
+func (q *Queue) Step(now time.Time, source FleetSource) []*Answer {
 	q.expire(now)
 	var answers []*Answer
 	fleets := map[string]*Fleet{}
@@ -120,7 +120,7 @@
 // a prompt grows linearly with its length, but the prefill grows with the square of it. So this
 // order serves the most value if more prompts arrive than the engines can prefill. Overdue
 // prompts come last.
-func (q *Queue) sortPending(source World, fleets map[string]*Fleet) []*pending {
+func (q *Queue) sortPending(source FleetSource, fleets map[string]*Fleet) []*pending {
 	list := make([]*pending, 0, len(q.pending))
 	for _, w := range q.pending {
 		fleet, known := fleets[w.ask.Service]
