--- a/arbiter/queue.go
+++ b/arbiter/queue.go
@@ -78,8 +78,8 @@
 // Waits reports whether any request is pending.
 func (q *Queue) Waits() bool { return len(q.pending) > 0 }
 
-// Take adds or refreshes a request. If it was answered already, the answer is returned.
-func (q *Queue) Take(now time.Time, ask *Request) *Answer {
+// Accept adds or refreshes a request. If it was answered already, the answer is returned.
+func (q *Queue) Accept(now time.Time, ask *Request) *Answer {
 	if s, found := q.answered[ask.ID]; found {
 		return s.answer
 	}
--- a/arbiter/queue_test.go
+++ b/arbiter/queue_test.go
@@ -49,8 +49,8 @@
 	// decided independently, both would occupy these at the same moment: the prompt that came
 	// first would be prefilled last, and its first event would be late.
 	queue, w := NewQueue(), &fakeFleets{engines: 18}
-	queue.Take(start, newRequest("a", 300_000))
-	queue.Take(start, newRequest("b", 310_000))
+	queue.Accept(start, newRequest("a", 300_000))
+	queue.Accept(start, newRequest("b", 310_000))
 	answers := queue.Step(start, w)
 	used := map[loadshare.Key]string{}
 	for _, answer := range answers {
@@ -73,8 +73,8 @@
 	// More long prompts wait than can be prefilled in time. In order of arrival, one of 600,000
 	// tokens would take the time of a dozen of 150,000, and all would be late.
 	queue, w := NewQueue(), &fakeFleets{engines: 17}
-	queue.Take(start, newRequest("a", 600_000))
-	queue.Take(start, newRequest("b", 150_000))
+	queue.Accept(start, newRequest("a", 600_000))
+	queue.Accept(start, newRequest("b", 150_000))
 	answers := queue.Step(start, w)
 	if len(answers) == 0 || answers[0].ID != "b" || answers[0].Decision != Placed {
 		t.Fatalf("answers %+v, want the short one placed first", answers)
@@ -88,7 +88,7 @@
 	for key := loadshare.Key(1); key <= 4; key++ {
 		w.loads[key] = loadshare.Load{Leading: 1, PrefillTime: 6 * time.Second}
 	}
-	queue.Take(start, newRequest("a", 300_000))
+	queue.Accept(start, newRequest("a", 300_000))
 	answers := queue.Step(start, w)
 	if len(answers) != 1 || answers[0].Decision != Hopeless || answers[0].Excess <= 0 {
 		t.Errorf("answers %+v, want a rejection with the excess time", answers)
@@ -101,7 +101,7 @@
 	// only when their time is over, and their callers would have no time left to retry.
 	queue, w := NewQueue(), &fakeFleets{engines: 17}
 	for i := range 100 {
-		queue.Take(start, newRequest(fmt.Sprintf("%03d", i), 300_000))
+		queue.Accept(start, newRequest(fmt.Sprintf("%03d", i), 300_000))
 	}
 	hopeless := 0
 	for _, answer := range queue.Step(start, w) {
@@ -118,9 +118,9 @@
 	// The datagram with the answer is lost, but the engines are already allocated. A second
 	// placement of the same prompt would keep other prompts from engines.
 	queue, w := NewQueue(), &fakeFleets{engines: 17}
-	queue.Take(start, newRequest("a", 150_000))
+	queue.Accept(start, newRequest("a", 150_000))
 	first := queue.Step(start, w)
-	again := queue.Take(start.Add(40*time.Millisecond), newRequest("a", 150_000))
+	again := queue.Accept(start.Add(40*time.Millisecond), newRequest("a", 150_000))
 	if len(first) != 1 || again != first[0] || w.granted != 1 {
 		t.Errorf("answered %+v, then %+v, granted %d times", first, again, w.granted)
 	}
@@ -133,7 +133,7 @@
 	for key := loadshare.Key(1); key <= 4; key++ {
 		w.loads[key] = loadshare.Load{Leading: 1, PrefillTime: time.Second}
 	}
-	queue.Take(start, newRequest("a", 60_000))
+	queue.Accept(start, newRequest("a", 60_000))
 	if answers := queue.Step(start, w); len(answers) > 0 {
 		t.Fatalf("answered %+v, want it to wait", answers)
 	}
@@ -149,13 +149,13 @@
 	queue, w := NewQueue(), &fakeFleets{engines: 4}
 	ask := newRequest("a", 150_000)
 	ask.Service = "other"
-	queue.Take(start, ask)
+	queue.Accept(start, ask)
 	if answers := queue.Step(start, w); len(answers) != 1 || answers[0].Decision != Unknown {
 		t.Errorf("answers %+v", answers)
 	}
 	// The arbiter has just started, and no engine has announced itself to it.
 	w.engines = 0
-	queue.Take(start, newRequest("b", 150_000))
+	queue.Accept(start, newRequest("b", 150_000))
 	if answers := queue.Step(start, w); len(answers) != 1 || answers[0].Decision != Unknown {
 		t.Errorf("without engines: answers %+v", answers)
 	}
@@ -166,7 +166,7 @@
 	queue, w := NewQueue(), &fakeFleets{engines: 18}
 	ask := newRequest("a", 300_000)
 	ask.LeadCandidates = []loadshare.Key{17}
-	queue.Take(start, ask)
+	queue.Accept(start, ask)
 	answers := queue.Step(start, w)
 	if len(answers) != 1 || answers[0].Decision != Placed || answers[0].Lead != 17 || len(answers[0].Helpers) == 0 {
 		t.Errorf("answers %+v, want engine 17 to lead and others to help", answers)
--- a/arbiter/refusals_test.go
+++ b/arbiter/refusals_test.go
@@ -12,14 +12,14 @@
 	queue, w := NewQueue(), &fakeFleets{engines: 1}
 	first := newRequest("front-1/call-1/0", 600_000)
 	first.PromptID, first.Waited = 77, 100*time.Millisecond
-	queue.Take(start, first)
+	queue.Accept(start, first)
 	answers := queue.Step(start, w)
 	if len(answers) != 1 || answers[0].Decision != Hopeless || answers[0].Age != 0 {
 		t.Fatalf("answers %+v", answers)
 	}
 	again := newRequest("front-2/call-2/0", 600_000)
 	again.PromptID, again.Remaining = 77, 13*time.Second
-	queue.Take(start.Add(1500*time.Millisecond), again)
+	queue.Accept(start.Add(1500*time.Millisecond), again)
 	answers = queue.Step(start.Add(1500*time.Millisecond), w)
 	if len(answers) != 1 || answers[0].Age != 1600*time.Millisecond {
 		t.Errorf("answers %+v, want an age of 1.6 s", answers)
@@ -34,13 +34,13 @@
 		refused := newRequest("refused", 600_000)
 		refused.PromptID = id
 		at := start.Add(time.Duration(i) * 2 * answerTTL)
-		queue.Take(at, refused)
+		queue.Accept(at, refused)
 		queue.Step(at, w)
 	}
 	for _, id := range []uint64{78, 0} {
 		fresh := newRequest("fresh", 10_000)
 		fresh.PromptID = id
-		queue.Take(start.Add(5*time.Second), fresh)
+		queue.Accept(start.Add(5*time.Second), fresh)
 		answers := queue.Step(start.Add(5*time.Second), w)
 		if len(answers) != 1 || answers[0].Age != 0 {
 			t.Errorf("prompt %d: answers %+v", id, answers)
--- a/forward/arbitration.go
+++ b/forward/arbitration.go
@@ -63,7 +63,7 @@
 func (s *Server) takeAsk(from net.Addr, ask *arbiter.Request) {
 	a := s.arbitration
 	a.mu.Lock()
-	answer := a.queue.Take(time.Now(), ask)
+	answer := a.queue.Accept(time.Now(), ask)
 	_, known := a.askers[ask.ID]
 	if answer == nil {
 		a.askers[ask.ID] = from
--- a/forward/grant_test.go
+++ b/forward/grant_test.go
@@ -16,7 +16,7 @@
 func placeFor(t *testing.T, s *Server, ask *arbiter.Request) *arbiter.Answer {
 	t.Helper()
 	s.arbitration.mu.Lock()
-	s.arbitration.queue.Take(time.Now(), ask)
+	s.arbitration.queue.Accept(time.Now(), ask)
 	answers := s.arbitration.queue.Step(time.Now(), &arbiterWorld{server: s, now: time.Now()})
 	s.arbitration.mu.Unlock()
 	if len(answers) != 1 || answers[0].Decision != arbiter.Placed {
--- a/forward/rates_test.go
+++ b/forward/rates_test.go
@@ -33,7 +33,7 @@
 			ask := longAsk()
 			ask.ID = fmt.Sprint("front-1/call/", n)
 			s.arbitration.mu.Lock()
-			s.arbitration.queue.Take(time.Now(), ask)
+			s.arbitration.queue.Accept(time.Now(), ask)
 			answers := s.arbitration.queue.Step(time.Now(), &arbiterWorld{server: s, now: time.Now()})
 			s.arbitration.mu.Unlock()
 			for _, answer := range answers {
