--- a/forward/fleet.go
+++ b/forward/fleet.go
@@ -208,7 +208,7 @@
 		return
 	}
 	f.peers[from] = now
-	if f.board.Take(now, r) && len(r.Loads) > 0 {
+	if f.board.Accept(now, r) && len(r.Loads) > 0 {
 		wake(f.zoneNews)
 	}
 }
--- a/loadshare/board.go
+++ b/loadshare/board.go
@@ -35,9 +35,9 @@
 	return &Board{senders: map[Key]*sender{}, loads: map[Key]map[Key]reported{}}
 }
 
-// Take applies a report and returns whether it was newer than the last one of its sender.
+// Accept applies a report and returns whether it was newer than the last one of its sender.
 // Datagrams may arrive out of order.
-func (b *Board) Take(now time.Time, r *Report) bool {
+func (b *Board) Accept(now time.Time, r *Report) bool {
 	s := b.senders[r.Sender]
 	if s != nil && int32(r.Sequence-s.sequence) <= 0 {
 		return false
--- a/loadshare/board_test.go
+++ b/loadshare/board_test.go
@@ -72,11 +72,11 @@
 			}
 			if len(held) > 0 && rapid.Bool().Draw(t, "deliver") {
 				at := rapid.IntRange(0, len(held)-1).Draw(t, "which")
-				board.Take(now, held[at])
+				board.Accept(now, held[at])
 			}
 		}
 		now = now.Add(FullInterval)
-		board.Take(now, reporter.Next(now, loads))
+		board.Accept(now, reporter.Next(now, loads))
 		for key := Key(1); key <= 3; key++ {
 			if got := board.Load(now, key); got != loads[key] {
 				t.Fatalf("engine %d has the load %+v, the board has %+v", key, loads[key], got)
@@ -89,7 +89,7 @@
 	// An instance is killed while it has calls in flight. Its engines drop these calls when the
 	// connections break, so the other instances must stop counting them.
 	board := NewBoard()
-	board.Take(start, &Report{Sender: 1, Sequence: 1, Full: true, Loads: map[Key]Load{5: {Streams: 4}}})
+	board.Accept(start, &Report{Sender: 1, Sequence: 1, Full: true, Loads: map[Key]Load{5: {Streams: 4}}})
 	if got := board.Load(start.Add(Forget), 5); got.Streams != 4 {
 		t.Errorf("before the report expires the load is %+v, want 4 streams", got)
 	}
@@ -102,8 +102,8 @@
 	// A datagram arrives after one that was sent later. If it were applied, a call that has
 	// ended would load its engine again until the next full report.
 	board := NewBoard()
-	board.Take(start, &Report{Sender: 1, Sequence: 2, Full: true, Loads: map[Key]Load{}})
-	if board.Take(start, &Report{Sender: 1, Sequence: 1, Loads: map[Key]Load{5: {Streams: 1}}}) {
+	board.Accept(start, &Report{Sender: 1, Sequence: 2, Full: true, Loads: map[Key]Load{}})
+	if board.Accept(start, &Report{Sender: 1, Sequence: 1, Loads: map[Key]Load{5: {Streams: 1}}}) {
 		t.Error("an older report was accepted")
 	}
 	if got := board.Load(start, 5); got != (Load{}) {
@@ -116,8 +116,8 @@
 	// later the engine has prefilled it, but the answer still waits for other engines. Instances
 	// that rely on the outdated report would skip an idle engine.
 	board := NewBoard()
-	board.Take(start, &Report{Sender: 1, Sequence: 1, Loads: map[Key]Load{5: {Streams: 1, PrefillTime: 300 * time.Millisecond}}})
-	board.Take(start, &Report{Sender: 2, Sequence: 1, Loads: map[Key]Load{5: {Streams: 1, PrefillTime: 400 * time.Millisecond}}})
+	board.Accept(start, &Report{Sender: 1, Sequence: 1, Loads: map[Key]Load{5: {Streams: 1, PrefillTime: 300 * time.Millisecond}}})
+	board.Accept(start, &Report{Sender: 2, Sequence: 1, Loads: map[Key]Load{5: {Streams: 1, PrefillTime: 400 * time.Millisecond}}})
 	if got := board.Load(start.Add(100*time.Millisecond), 5); got.PrefillTime != 300*time.Millisecond {
 		t.Errorf("after 100 ms %s of prefill are left, want the later end, in 300 ms", got.PrefillTime)
 	}
@@ -147,7 +147,7 @@
 	board := NewBoard()
 	for id := range 100 {
 		now := start.Add(time.Duration(id) * Forget)
-		board.Take(now, &Report{Sender: Key(id), Sequence: 1, Loads: map[Key]Load{Key(id): {Streams: 1}}})
+		board.Accept(now, &Report{Sender: Key(id), Sequence: 1, Loads: map[Key]Load{Key(id): {Streams: 1}}})
 	}
 	if len(board.senders) > 2 || len(board.loads) > 2 {
 		t.Errorf("%d senders with %d loads are kept, want only those that have not expired", len(board.senders), len(board.loads))
@@ -164,7 +164,7 @@
 		for n := range 4 {
 			loads[Key((id*7+n*151)%engines)] = Load{Streams: 1}
 		}
-		board.Take(start, &Report{Sender: Key(1000 + id), Sequence: 1, Full: true, Loads: loads})
+		board.Accept(start, &Report{Sender: Key(1000 + id), Sequence: 1, Full: true, Loads: loads})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/loadshare/zones.go
+++ b/loadshare/zones.go
@@ -32,7 +32,7 @@
 		z.board.Remove(aggregator)
 	}
 	z.aggregators[r.Zone] = r.Sender
-	return z.board.Take(now, r)
+	return z.board.Accept(now, r)
 }
 
 // Load returns the load of the other zones at an upstream.
