--- a/forward/fleet.go
+++ b/forward/fleet.go
@@ -204,7 +204,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if r.Zone != 0 {
-		f.zones.Take(now, r)
+		f.zones.Accept(now, r)
 		return
 	}
 	f.peers[from] = now
--- a/loadshare/zones.go
+++ b/loadshare/zones.go
@@ -18,10 +18,10 @@
 	return &Zones{own: own, board: NewBoard(), aggregators: map[Key]Key{}}
 }
 
-// Take applies a report of a zone and returns whether it was new. When another instance becomes
+// Accept applies a report of a zone and returns whether it was new. When another instance becomes
 // the aggregator of a zone, its first full report replaces everything that the former one
 // reported; with both together each load would be counted twice.
-func (z *Zones) Take(now time.Time, r *Report) bool {
+func (z *Zones) Accept(now time.Time, r *Report) bool {
 	if r.Zone == z.own {
 		return false // these instances report their loads directly
 	}
--- a/loadshare/zones_test.go
+++ b/loadshare/zones_test.go
@@ -23,7 +23,7 @@
 		{"the former one, delayed", report(1, 3, false, 4), 5},
 	}
 	for _, step := range steps {
-		zones.Take(start, step.report)
+		zones.Accept(start, step.report)
 		if got := zones.Load(start, engine).Streams; got != step.want {
 			t.Errorf("after %s there are %d streams, want %d", step.name, got, step.want)
 		}
@@ -32,7 +32,7 @@
 
 func TestOwnZoneIsNotCountedAgain(t *testing.T) {
 	zones := NewZones(KeyOf("own"))
-	if zones.Take(start, &Report{Sender: 1, Zone: KeyOf("own"), Sequence: 1, Full: true, Loads: map[Key]Load{5: {Streams: 1}}}) {
+	if zones.Accept(start, &Report{Sender: 1, Zone: KeyOf("own"), Sequence: 1, Full: true, Loads: map[Key]Load{5: {Streams: 1}}}) {
 		t.Error("the report of the own zone's aggregator was accepted")
 	}
 }
