--- a/arbiter/queue.go
+++ b/arbiter/queue.go
@@ -75,8 +75,8 @@
 	return &Queue{pending: map[string]*pending{}, answered: map[string]answered{}, refusals: refusals{}}
 }
 
-// Waits reports whether any request is pending.
-func (q *Queue) Waits() bool { return len(q.pending) > 0 }
+// HasPending reports whether any request is pending.
+func (q *Queue) HasPending() bool { return len(q.pending) > 0 }
 
 // Accept adds or refreshes a request. If it was answered already, the answer is returned.
 func (q *Queue) Accept(now time.Time, ask *Request) *Answer {
--- a/arbiter/queue_test.go
+++ b/arbiter/queue_test.go
@@ -64,8 +64,8 @@
 			used[key] = answer.ID
 		}
 	}
-	if len(answers) == 0 || !queue.Waits() {
-		t.Errorf("%d are placed, waiting: %t; want the second to wait for the first", len(answers), queue.Waits())
+	if len(answers) == 0 || !queue.HasPending() {
+		t.Errorf("%d are placed, waiting: %t; want the second to wait for the first", len(answers), queue.HasPending())
 	}
 }
 
@@ -138,8 +138,8 @@
 		t.Fatalf("answered %+v, want it to wait", answers)
 	}
 	w.loads = nil
-	if answers := queue.Step(start.Add(requestTTL+time.Millisecond), w); len(answers) > 0 || queue.Waits() {
-		t.Errorf("answered %+v, waiting: %t", answers, queue.Waits())
+	if answers := queue.Step(start.Add(requestTTL+time.Millisecond), w); len(answers) > 0 || queue.HasPending() {
+		t.Errorf("answered %+v, waiting: %t", answers, queue.HasPending())
 	}
 }
 
--- a/forward/arbitration.go
+++ b/forward/arbitration.go
@@ -114,7 +114,7 @@
 		to[i] = a.askers[answer.ID]
 		delete(a.askers, answer.ID)
 	}
-	if !a.queue.Waits() {
+	if !a.queue.HasPending() {
 		clear(a.askers)
 	}
 	a.mu.Unlock()
@@ -134,7 +134,7 @@
 		case <-ticker.C:
 		}
 		s.arbitration.mu.Lock()
-		waits := s.arbitration.queue.Waits()
+		waits := s.arbitration.queue.HasPending()
 		s.arbitration.mu.Unlock()
 		if waits {
 			s.decide()
--- a/forward/arbitration_test.go
+++ b/forward/arbitration_test.go
@@ -118,7 +118,7 @@
 		}
 		time.Sleep(time.Second)
 		s.decide()
-		if s.arbitration.queue.Waits() {
+		if s.arbitration.queue.HasPending() {
 			t.Error("the ask still waits")
 		}
 	})
