--- a/arbiter/message.go
+++ b/arbiter/message.go
@@ -42,8 +42,8 @@
 	Waiting Decision = iota
 	// Placed means that the request was placed.
 	Placed
-	// Hopeless means that the prompt can't be placed in time.
-	Hopeless
+	// Infeasible means that the prompt can't be placed in time.
+	Infeasible
 	// Unknown means that this instance knows no engines of the service.
 	Unknown
 )
--- a/arbiter/queue.go
+++ b/arbiter/queue.go
@@ -108,7 +108,7 @@
 			fleet.record(answer, w.ask)
 			source.Granted(w.ask, answer)
 		}
-		if answer.Decision == Hopeless {
+		if answer.Decision == Infeasible {
 			q.refusals.record(now.Add(-w.ask.Waited-w.age), w.ask.PromptID)
 		}
 		answers = append(answers, q.recordAnswer(now, answer))
@@ -183,7 +183,7 @@
 	case plan.Wait > 0:
 		answer.Decision = Waiting
 	case !found:
-		answer.Decision = Hopeless
+		answer.Decision = Infeasible
 	default:
 		answer.Decision = Placed
 		answer.Lead = fleet.Keys[plan.Lead]
--- a/arbiter/queue_test.go
+++ b/arbiter/queue_test.go
@@ -90,7 +90,7 @@
 	}
 	queue.Accept(start, newRequest("a", 300_000))
 	answers := queue.Step(start, w)
-	if len(answers) != 1 || answers[0].Decision != Hopeless || answers[0].Excess <= 0 {
+	if len(answers) != 1 || answers[0].Decision != Infeasible || answers[0].Excess <= 0 {
 		t.Errorf("answers %+v, want a rejection with the excess time", answers)
 	}
 }
@@ -105,7 +105,7 @@
 	}
 	hopeless := 0
 	for _, answer := range queue.Step(start, w) {
-		if answer.Decision == Hopeless {
+		if answer.Decision == Infeasible {
 			hopeless++
 		}
 	}
--- a/arbiter/refusals_test.go
+++ b/arbiter/refusals_test.go
@@ -14,7 +14,7 @@
 	first.PromptID, first.Waited = 77, 100*time.Millisecond
 	queue.Accept(start, first)
 	answers := queue.Step(start, w)
-	if len(answers) != 1 || answers[0].Decision != Hopeless || answers[0].Age != 0 {
+	if len(answers) != 1 || answers[0].Decision != Infeasible || answers[0].Age != 0 {
 		t.Fatalf("answers %+v", answers)
 	}
 	again := newRequest("front-2/call-2/0", 600_000)
--- a/forward/place.go
+++ b/forward/place.go
@@ -75,7 +75,7 @@
 		return nil, ctx.Err(), true
 	}
 	x.predicted, x.readers, x.seen, x.age = answer.FirstEvent, 1+len(answer.Helpers), answer.Seen, answer.Age
-	if answer.Decision == arbiter.Hopeless {
+	if answer.Decision == arbiter.Infeasible {
 		now := time.Now()
 		if rest := x.restOfAll(now); rest.inVain() {
 			return nil, x.refuseResting(now, rest), true
