--- a/loadshare/board.go
+++ b/loadshare/board.go
@@ -22,9 +22,9 @@
 
 func (t reported) now(now time.Time) Load { return t.load.After(now.Sub(t.at)) }
 
-// Forget is the age after which the reports of an instance expire: twice the interval of full
+// ReportTTL is the age after which the reports of an instance expire: twice the interval of full
 // reports, so that one may be lost. A dead instance has nothing in flight.
-const Forget = 2*FullInterval + 200*time.Millisecond
+const ReportTTL = 2*FullInterval + 200*time.Millisecond
 
 // FullInterval is the interval at which an instance reports all of its loads, which corrects
 // errors from lost datagrams.
@@ -86,7 +86,7 @@
 // removeExpired removes the senders whose reports have expired.
 func (b *Board) removeExpired(now time.Time) {
 	for id, s := range b.senders {
-		if now.Sub(s.receivedAt) > Forget {
+		if now.Sub(s.receivedAt) > ReportTTL {
 			b.clearSender(id, s)
 			delete(b.senders, id)
 		}
@@ -118,7 +118,7 @@
 func (b *Board) Load(now time.Time, key Key) Load {
 	var total Load
 	for id, t := range b.loads[key] {
-		if now.Sub(b.senders[id].receivedAt) <= Forget {
+		if now.Sub(b.senders[id].receivedAt) <= ReportTTL {
 			total = total.Add(t.now(now))
 		}
 	}
--- a/loadshare/board_test.go
+++ b/loadshare/board_test.go
@@ -90,10 +90,10 @@
 	// connections break, so the other instances must stop counting them.
 	board := NewBoard()
 	board.Accept(start, &Report{Sender: 1, Sequence: 1, Full: true, Loads: map[Key]Load{5: {Streams: 4}}})
-	if got := board.Load(start.Add(Forget), 5); got.Streams != 4 {
+	if got := board.Load(start.Add(ReportTTL), 5); got.Streams != 4 {
 		t.Errorf("before the report expires the load is %+v, want 4 streams", got)
 	}
-	if got := board.Load(start.Add(Forget+time.Millisecond), 5); got != (Load{}) {
+	if got := board.Load(start.Add(ReportTTL+time.Millisecond), 5); got != (Load{}) {
 		t.Errorf("after the report has expired the load is %+v, want none", got)
 	}
 }
@@ -146,7 +146,7 @@
 	// grow without bound.
 	board := NewBoard()
 	for id := range 100 {
-		now := start.Add(time.Duration(id) * Forget)
+		now := start.Add(time.Duration(id) * ReportTTL)
 		board.Accept(now, &Report{Sender: Key(id), Sequence: 1, Loads: map[Key]Load{Key(id): {Streams: 1}}})
 	}
 	if len(board.senders) > 2 || len(board.loads) > 2 {
