--- a/admission/account.go
+++ b/admission/account.go
@@ -44,8 +44,8 @@
 	return &Account{Name: name, Weight: 1, Budget: NewBudget()}
 }
 
-// Offered counts the tokens of an incoming request, whether admitted or not.
-func (a *Account) Offered(now time.Time, tokens int) { a.offered.Add(now, float64(tokens)) }
+// CountOffered counts the tokens of an incoming request, whether admitted or not.
+func (a *Account) CountOffered(now time.Time, tokens int) { a.offered.Add(now, float64(tokens)) }
 
 // Share returns the decayed fleet-wide usage divided by the weight. The organisation with the
 // smallest share goes first.
--- a/dispatch/offer.go
+++ b/dispatch/offer.go
@@ -18,7 +18,7 @@
 	s.begin()
 	s.table.Expire(now)
 	account := s.account(r.Organisation)
-	account.Offered(now, r.Tokens())
+	account.CountOffered(now, r.Tokens())
 	lanes := s.lanesOf(r.Target)
 	lanes.offered(now, r, account)
 	pool := s.table.Pool(r.Target)
