--- a/admission/account.go
+++ b/admission/account.go
@@ -75,8 +75,8 @@
 	return a.OverdueSpans + a.fleet.overdueSpans
 }
 
-// Prompted adds the tokens of an incoming prompt to the mix.
-func (a *Account) Prompted(now time.Time, tokens quota.Mix) { a.mix.Add(now, tokens) }
+// CountPrompt adds the tokens of an incoming prompt to the mix.
+func (a *Account) CountPrompt(now time.Time, tokens quota.Mix) { a.mix.Add(now, tokens) }
 
 // Mix returns the incoming mix of the whole fleet, as far as known.
 func (a *Account) Mix(now time.Time) quota.Mix {
--- a/dispatch/offer.go
+++ b/dispatch/offer.go
@@ -45,7 +45,7 @@
 		return
 	}
 	tokens := mixOf(r)
-	a.Prompted(now, tokens)
+	a.CountPrompt(now, tokens)
 	l.mix.Add(now, tokens)
 }
 
