--- a/admission/limits.go
+++ b/admission/limits.go
@@ -52,11 +52,11 @@
 // grantRetry is the time within which a new grant arrives while the control group is available.
 const grantRetry = time.Second
 
-// Within reports whether one more request of the given size is within the limits, and if not,
+// WithinLimits reports whether one more request of the given size is within the limits, and if not,
 // when to retry. Without a valid grant a limited organisation has no part of the limit: other
 // instances may hold all of it, so that admitting requests would lift the limit whenever the
 // control group is unavailable.
-func (a *Account) Within(now time.Time, tokens int) (bool, time.Duration) {
+func (a *Account) WithinLimits(now time.Time, tokens int) (bool, time.Duration) {
 	l := &a.limits
 	if !l.limitedRate && !l.limitedInFlight {
 		return true, 0
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -101,10 +101,10 @@
 	a.Configure(1, 0.1, 1000, 2)
 	a.Demand(start)
 	a.Granted(start, quota.Grant{InFlight: 2, TokensPerSecond: 1000, Lease: 3 * time.Second})
-	if within, _ := a.Within(start, 10); !within {
+	if within, _ := a.WithinLimits(start, 10); !within {
 		t.Fatal("refused with a valid grant")
 	}
-	within, after := a.Within(start.Add(4*time.Second), 10)
+	within, after := a.WithinLimits(start.Add(4*time.Second), 10)
 	if within || after <= 0 {
 		t.Fatalf("admitted %v after the lease, retry in %v", within, after)
 	}
@@ -117,7 +117,7 @@
 	for i := range 600 {
 		now := start.Add(time.Duration(i) * 100 * time.Millisecond)
 		a.Granted(now, quota.Grant{TokensPerSecond: 1000, Lease: 3 * time.Second})
-		if within, _ := a.Within(now, 5000); within {
+		if within, _ := a.WithinLimits(now, 5000); within {
 			a.Charge(now, 5000)
 			admitted += 5000
 		}
--- a/dispatch/offer.go
+++ b/dispatch/offer.go
@@ -81,7 +81,7 @@
 	if err := s.holdable(r, pool); err != nil {
 		return err
 	}
-	if within, after := a.Within(now, r.Tokens()); !within {
+	if within, after := a.WithinLimits(now, r.Tokens()); !within {
 		return verdict.Refuse(verdict.ReasonLimit, after, "%s is at its limit", a.Name)
 	}
 	return nil
