--- a/arbiter/message.go
+++ b/arbiter/message.go
@@ -11,8 +11,8 @@
 	"celeryport/placement"
 )
 
-// Request is a request to place a prompt. It is sent again and again until the answer arrives; Left
-// and Waited are as of each transmission and count for this attempt alone.
+// Request is a request to place a prompt. It is sent again and again until the answer arrives;
+// Remaining and Waited are as of each transmission and count for this attempt alone.
 type Request struct {
 	ID             string          `json:"id"`               // of the call and the attempt
 	Previous       string          `json:"before,omitempty"` // ID of the call's earlier request whose placement could not be used
--- a/arbiter/queue.go
+++ b/arbiter/queue.go
@@ -22,19 +22,19 @@
 	// Fleet returns the engines of a service, or nil if the service is unknown.
 	Fleet(service string) *Fleet
 	// Granted records a placement, until the requester reports its load itself.
-	Granted(ask *Request, answer *Answer)
+	Granted(request *Request, answer *Answer)
 }
 
 // pending is a request without a final answer.
 type pending struct {
-	ask        *Request
+	request    *Request
 	receivedAt time.Time
 	prefill    time.Duration // prefill time on one engine
 	age        time.Duration // age of the prompt on arrival of this attempt, if an earlier one was rejected
 }
 
 func (w *pending) overdue() bool {
-	return placement.Overdue(&placement.Call{Age: w.age, Waited: w.age + w.ask.Waited, Objective: w.ask.Objective})
+	return placement.Overdue(&placement.Call{Age: w.age, Waited: w.age + w.request.Waited, Objective: w.request.Objective})
 }
 
 // compareBool orders false before true.
@@ -79,11 +79,11 @@
 func (q *Queue) HasPending() bool { return len(q.pending) > 0 }
 
 // Accept adds or refreshes a request. If it was answered already, the answer is returned.
-func (q *Queue) Accept(now time.Time, ask *Request) *Answer {
-	if s, found := q.answered[ask.ID]; found {
+func (q *Queue) Accept(now time.Time, request *Request) *Answer {
+	if s, found := q.answered[request.ID]; found {
 		return s.answer
 	}
-	q.pending[ask.ID] = &pending{ask: ask, receivedAt: now, age: q.refusals.age(now.Add(-ask.Waited), ask.PromptID)}
+	q.pending[request.ID] = &pending{request: request, receivedAt: now, age: q.refusals.age(now.Add(-request.Waited), request.PromptID)}
 	return nil
 }
 
@@ -94,22 +94,22 @@
 	fleets := map[string]*Fleet{}
 	ahead := map[string]time.Duration{}
 	for _, w := range q.sortPending(source, fleets) {
-		fleet := fleets[w.ask.Service]
+		fleet := fleets[w.request.Service]
 		if fleet == nil || len(fleet.Engines) == 0 {
-			answers = append(answers, q.recordAnswer(now, &Answer{ID: w.ask.ID, Decision: Unknown}))
+			answers = append(answers, q.recordAnswer(now, &Answer{ID: w.request.ID, Decision: Unknown}))
 			continue
 		}
-		answer := decide(now, w, fleet, ahead[w.ask.Service])
+		answer := decide(now, w, fleet, ahead[w.request.Service])
 		if answer.Decision == Waiting {
-			ahead[w.ask.Service] += w.prefill / time.Duration(max(1, len(fleet.Engines)))
+			ahead[w.request.Service] += w.prefill / time.Duration(max(1, len(fleet.Engines)))
 			continue
 		}
 		if answer.Decision == Placed {
-			fleet.record(answer, w.ask)
-			source.Granted(w.ask, answer)
+			fleet.record(answer, w.request)
+			source.Granted(w.request, answer)
 		}
 		if answer.Decision == Infeasible {
-			q.refusals.record(now.Add(-w.ask.Waited-w.age), w.ask.PromptID)
+			q.refusals.record(now.Add(-w.request.Waited-w.age), w.request.PromptID)
 		}
 		answers = append(answers, q.recordAnswer(now, answer))
 	}
@@ -123,18 +123,18 @@
 func (q *Queue) sortPending(source FleetSource, fleets map[string]*Fleet) []*pending {
 	list := make([]*pending, 0, len(q.pending))
 	for _, w := range q.pending {
-		fleet, known := fleets[w.ask.Service]
+		fleet, known := fleets[w.request.Service]
 		if !known {
-			fleet = source.Fleet(w.ask.Service)
-			fleets[w.ask.Service] = fleet
+			fleet = source.Fleet(w.request.Service)
+			fleets[w.request.Service] = fleet
 		}
 		if fleet != nil {
-			w.prefill = placement.PrefillTime(fleet.Profile, w.ask.Prompt)
+			w.prefill = placement.PrefillTime(fleet.Profile, w.request.Prompt)
 		}
 		list = append(list, w)
 	}
 	slices.SortFunc(list, func(a, b *pending) int {
-		return cmp.Or(compareBool(a.overdue(), b.overdue()), cmp.Compare(a.prefill, b.prefill), cmp.Compare(a.ask.ID, b.ask.ID))
+		return cmp.Or(compareBool(a.overdue(), b.overdue()), cmp.Compare(a.prefill, b.prefill), cmp.Compare(a.request.ID, b.request.ID))
 	})
 	return list
 }
@@ -164,21 +164,21 @@
 func decide(now time.Time, w *pending, fleet *Fleet, ahead time.Duration) *Answer {
 	since := now.Sub(w.receivedAt)
 	call := &placement.Call{
-		Prompt:    w.ask.Prompt,
-		Answer:    w.ask.Answer,
-		Objective: w.ask.Objective,
-		LongPause: w.ask.LongPause,
-		Remaining: w.ask.Remaining - since,
-		Waited:    w.ask.Waited + w.age + since,
+		Prompt:    w.request.Prompt,
+		Answer:    w.request.Answer,
+		Objective: w.request.Objective,
+		LongPause: w.request.LongPause,
+		Remaining: w.request.Remaining - since,
+		Waited:    w.request.Waited + w.age + since,
 		Age:       w.age,
 		Ahead:     ahead,
 	}
 	for i, key := range fleet.Keys {
-		fleet.Engines[i].Tried = slices.Contains(w.ask.Tried, key)
-		fleet.Engines[i].HelpOnly = !w.ask.mayLead(key)
+		fleet.Engines[i].Tried = slices.Contains(w.request.Tried, key)
+		fleet.Engines[i].HelpOnly = !w.request.mayLead(key)
 	}
 	plan, found := placement.Prompt(fleet.Profile, fleet.Engines, call)
-	answer := &Answer{ID: w.ask.ID, Part: plan.Part + plan.Spacing, FirstEvent: plan.FirstEvent, Excess: plan.Excess, Age: w.age, Seen: plan.Seen}
+	answer := &Answer{ID: w.request.ID, Part: plan.Part + plan.Spacing, FirstEvent: plan.FirstEvent, Excess: plan.Excess, Age: w.age, Seen: plan.Seen}
 	switch {
 	case plan.Wait > 0:
 		answer.Decision = Waiting
@@ -198,8 +198,8 @@
 }
 
 // record adds a placed prompt to the loads of the engines.
-func (f *Fleet) record(answer *Answer, ask *Request) {
-	for key, load := range answer.Loads(f.Profile, ask) {
+func (f *Fleet) record(answer *Answer, request *Request) {
+	for key, load := range answer.Loads(f.Profile, request) {
 		at := slices.Index(f.Keys, key)
 		prefill := f.Engines[at].Load.PrefillTime + load.PrefillTime
 		f.Engines[at].Load = f.Engines[at].Load.Add(load)
@@ -208,10 +208,10 @@
 }
 
 // Loads returns the load that a placed prompt adds to each of its engines.
-func (a *Answer) Loads(p *settings.EngineProfile, ask *Request) map[loadshare.Key]loadshare.Load {
+func (a *Answer) Loads(p *settings.EngineProfile, request *Request) map[loadshare.Key]loadshare.Load {
 	loads := map[loadshare.Key]loadshare.Load{}
-	lead := loadshare.Load{Streams: 1, Leading: 1, PrefillTime: a.Part, Held: ask.Prompt + ask.Answer}
-	if placement.Tight(p, ask.LongPause) {
+	lead := loadshare.Load{Streams: 1, Leading: 1, PrefillTime: a.Part, Held: request.Prompt + request.Answer}
+	if placement.Tight(p, request.LongPause) {
 		lead.Tight = 1
 	}
 	for _, key := range a.Helpers {
--- a/arbiter/queue_test.go
+++ b/arbiter/queue_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestHopelessPromptsAreAnsweredAtOnce(t *testing.T) {
+func TestInfeasiblePromptsAreAnsweredAtOnce(t *testing.T) {
 	// All engines have more prefill queued than the objective allows. A caller that gets no
 	// answer until then could have retried in time.
 	queue, w := NewQueue(), &fakeFleets{engines: 4, loads: map[loadshare.Key]loadshare.Load{}}
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestManyWaitingPromptsMakeOthersHopeless(t *testing.T) {
+func TestManyWaitingPromptsMakeOthersInfeasible(t *testing.T) {
 	// A burst brings ten times what can be prefilled within the objective. Judged by the
 	// engines' load alone, each of the prompts would seem to be next; they would be rejected
 	// only when their time is over, and their callers would have no time left to retry.
@@ -103,14 +103,14 @@
 	for i := range 100 {
 		queue.Accept(start, newRequest(fmt.Sprintf("%03d", i), 300_000))
 	}
-	hopeless := 0
+	infeasible := 0
 	for _, answer := range queue.Step(start, w) {
 		if answer.Decision == Infeasible {
-			hopeless++
+			infeasible++
 		}
 	}
-	if hopeless < 70 {
-		t.Errorf("%d of 100 are rejected at once, at most 10 can be prefilled in time", hopeless)
+	if infeasible < 70 {
+		t.Errorf("%d of 100 are rejected at once, at most 10 can be prefilled in time", infeasible)
 	}
 }
 
@@ -147,9 +147,9 @@
 	// The arbiter has older settings than the requester, without the service. If the call were
 	// held or rejected it would fail although the requester could place it.
 	queue, w := NewQueue(), &fakeFleets{engines: 4}
-	ask := newRequest("a", 150_000)
-	ask.Service = "other"
-	queue.Accept(start, ask)
+	request := newRequest("a", 150_000)
+	request.Service = "other"
+	queue.Accept(start, request)
 	if answers := queue.Step(start, w); len(answers) != 1 || answers[0].Decision != Unknown {
 		t.Errorf("answers %+v", answers)
 	}
@@ -164,9 +164,9 @@
 // Guards against placing a call on more lead engines than its route allows.
 func TestOnlyEnginesThatHadTheCallLeadIt(t *testing.T) {
 	queue, w := NewQueue(), &fakeFleets{engines: 18}
-	ask := newRequest("a", 300_000)
-	ask.LeadCandidates = []loadshare.Key{17}
-	queue.Accept(start, ask)
+	request := newRequest("a", 300_000)
+	request.LeadCandidates = []loadshare.Key{17}
+	queue.Accept(start, request)
 	answers := queue.Step(start, w)
 	if len(answers) != 1 || answers[0].Decision != Placed || answers[0].Lead != 17 || len(answers[0].Helpers) == 0 {
 		t.Errorf("answers %+v, want engine 17 to lead and others to help", answers)
--- a/datagram/datagram.go
+++ b/datagram/datagram.go
@@ -17,7 +17,7 @@
 const (
 	// Loads is a loadshare.Report.
 	Loads Kind = 1 + iota
-	// Ask is an arbiter.Ask.
+	// Ask is an arbiter.Request.
 	Ask
 	// Answer is an arbiter.Answer.
 	Answer
--- a/forward/arbitration_world.go
+++ b/forward/arbitration_world.go
@@ -15,7 +15,7 @@
 	now    time.Time
 }
 
-// Fleet implements arbiter.World.
+// Fleet implements arbiter.FleetSource.
 func (w *arbiterWorld) Fleet(service string) *arbiter.Fleet {
 	view := w.server.options.Plane.View()
 	profile := engineProfile(view.Tree, service)
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// Granted implements arbiter.World.
+// Granted implements arbiter.FleetSource.
 func (w *arbiterWorld) Granted(ask *arbiter.Request, answer *arbiter.Answer) {
 	view := w.server.options.Plane.View()
 	profile := engineProfile(view.Tree, ask.Service)
--- a/placement/prompt_test.go
+++ b/placement/prompt_test.go
@@ -532,7 +532,7 @@
 	}
 }
 
-func TestHopelessCallsAreRefusedAtOnce(t *testing.T) {
+func TestInfeasibleCallsAreRejectedAtOnce(t *testing.T) {
 	// All engines have more prefill queued than the caller will wait for. If the call were held
 	// back, the caller would learn of it only at its deadline.
 	engines := testEngines(3)
@@ -576,7 +576,7 @@
 		for i := range engines {
 			engines[i].Load = loadshare.Load{
 				Streams:     rapid.IntRange(0, 20).Draw(t, "streams"),
-				PrefillTime: time.Duration(rapid.IntRange(0, 3000).Draw(t, "reading")) * time.Millisecond,
+				PrefillTime: time.Duration(rapid.IntRange(0, 3000).Draw(t, "prefill")) * time.Millisecond,
 				Held:        rapid.IntRange(0, 405_000).Draw(t, "held"),
 			}
 			engines[i].Load.Tight = rapid.IntRange(0, engines[i].Load.Streams).Draw(t, "tight")
