--- a/placement/packing.go
+++ b/placement/packing.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// baseOccupancy and peakOccupancy are the fractions of their slots that tight streams fill
-	// on average on the engines they are packed onto, without waiting long prompts and with
-	// many. The other slots are for calls that other instances place at the same moment; a call
-	// that finds no slot waits for the end of a whole other answer.
+	// baseOccupancy and peakOccupancy are the mean fraction of an engine's slots that tight
+	// streams fill on the engines they are packed onto: without waiting long prompts, and with
+	// many of them. The other slots are for calls that other instances place at the same moment;
+	// a call that finds no slot waits for the end of a whole other answer.
 	baseOccupancy = 0.6
 	peakOccupancy = 0.8
 	// maxLeading limits how many prompts may wait for their first event at one engine.
