--- a/dispatch/offer.go
+++ b/dispatch/offer.go
@@ -18,7 +18,7 @@
 	s.begin()
 	s.table.Expire(now)
 	account := s.account(r.Organisation)
-	account.Offered(now, r.Tokens())
+	account.CountOffered(now, r.Tokens())
 	lanes := s.lanesOf(r.Target)
 	lanes.offered(now, r, account)
 	pool := s.table.Pool(r.Target)
@@ -45,7 +45,7 @@
 		return
 	}
 	tokens := mixOf(r)
-	a.Prompted(now, tokens)
+	a.CountPrompt(now, tokens)
 	l.mix.Add(now, tokens)
 }
 
@@ -81,7 +81,7 @@
 	if err := s.holdable(r, pool); err != nil {
 		return err
 	}
-	if within, after := a.Within(now, r.Tokens()); !within {
+	if within, after := a.WithinLimits(now, r.Tokens()); !within {
 		return verdict.Refuse(verdict.ReasonLimit, after, "%s is at its limit", a.Name)
 	}
 	return nil
--- a/forward/arbitration.go
+++ b/forward/arbitration.go
@@ -60,10 +60,10 @@
 
 // takeAsk takes in an ask, answers it if there is an answer, and lets the asker
 // know otherwise that it is heard.
-func (s *Server) takeAsk(from net.Addr, ask *arbiter.Ask) {
+func (s *Server) takeAsk(from net.Addr, ask *arbiter.Request) {
 	a := s.arbitration
 	a.mu.Lock()
-	answer := a.queue.Take(time.Now(), ask)
+	answer := a.queue.Accept(time.Now(), ask)
 	_, known := a.askers[ask.ID]
 	if answer == nil {
 		a.askers[ask.ID] = from
@@ -86,9 +86,9 @@
 }
 
 // takeOutcome learns from a new ask what became of the one before it.
-func (s *Server) takeOutcome(from net.Addr, ask *arbiter.Ask) {
-	if ask.Before != "" {
-		s.fleet.voidGrant(ask.Before)
+func (s *Server) takeOutcome(from net.Addr, ask *arbiter.Request) {
+	if ask.Previous != "" {
+		s.fleet.voidGrant(ask.Previous)
 	}
 	if from != nil {
 		s.fleet.refusedHelpElsewhere(ask.Refused)
@@ -114,7 +114,7 @@
 		to[i] = a.askers[answer.ID]
 		delete(a.askers, answer.ID)
 	}
-	if !a.queue.Waits() {
+	if !a.queue.HasPending() {
 		clear(a.askers)
 	}
 	a.mu.Unlock()
@@ -134,7 +134,7 @@
 		case <-ticker.C:
 		}
 		s.arbitration.mu.Lock()
-		waits := s.arbitration.queue.Waits()
+		waits := s.arbitration.queue.HasPending()
 		s.arbitration.mu.Unlock()
 		if waits {
 			s.decide()
--- a/forward/arbitration_test.go
+++ b/forward/arbitration_test.go
@@ -57,10 +57,10 @@
 	})
 }
 
-func longAsk() *arbiter.Ask {
-	return &arbiter.Ask{
+func longAsk() *arbiter.Request {
+	return &arbiter.Request{
 		ID: "front-1/call/0", Service: "model", Prompt: 180_000, Answer: 600,
-		Objective: 4 * time.Second, LongPause: time.Second, Left: 15 * time.Second,
+		Objective: 4 * time.Second, LongPause: time.Second, Remaining: 15 * time.Second,
 	}
 }
 
@@ -118,7 +118,7 @@
 		}
 		time.Sleep(time.Second)
 		s.decide()
-		if s.arbitration.queue.Waits() {
+		if s.arbitration.queue.HasPending() {
 			t.Error("the ask still waits")
 		}
 	})
--- a/forward/arbitration_world.go
+++ b/forward/arbitration_world.go
@@ -15,7 +15,7 @@
 	now    time.Time
 }
 
-// Fleet implements arbiter.World.
+// Fleet implements arbiter.FleetSource.
 func (w *arbiterWorld) Fleet(service string) *arbiter.Fleet {
 	view := w.server.options.Plane.View()
 	profile := engineProfile(view.Tree, service)
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// Granted implements arbiter.World.
-func (w *arbiterWorld) Granted(ask *arbiter.Ask, answer *arbiter.Answer) {
+// Granted implements arbiter.FleetSource.
+func (w *arbiterWorld) Granted(ask *arbiter.Request, answer *arbiter.Answer) {
 	view := w.server.options.Plane.View()
 	profile := engineProfile(view.Tree, ask.Service)
 	if profile == nil {
@@ -61,7 +61,7 @@
 	for _, n := range f.nodes {
 		if load, given := loads[n.key]; given {
 			f.countLimited(w.now, n)
-			load.Reading += f.loadOf(w.now, n).Reading
+			load.PrefillTime += f.loadOf(w.now, n).PrefillTime
 			n.granted = append(n.granted, grant{ask: ask.ID, load: load, at: w.now, kept: grantsKept(len(view.Instances))})
 		}
 	}
@@ -85,7 +85,7 @@
 	if passed < g.kept {
 		return left, true
 	}
-	return loadshare.Load{Reading: left.Reading}, left.Reading > 0
+	return loadshare.Load{PrefillTime: left.PrefillTime}, left.PrefillTime > 0
 }
 
 // voidGrant forgets what an ask was given: its prompt is placed again.
--- a/forward/grant_test.go
+++ b/forward/grant_test.go
@@ -13,10 +13,10 @@
 )
 
 // placeFor asks an arbiter for an instance whose reports of loads don't arrive.
-func placeFor(t *testing.T, s *Server, ask *arbiter.Ask) *arbiter.Answer {
+func placeFor(t *testing.T, s *Server, ask *arbiter.Request) *arbiter.Answer {
 	t.Helper()
 	s.arbitration.mu.Lock()
-	s.arbitration.queue.Take(time.Now(), ask)
+	s.arbitration.queue.Accept(time.Now(), ask)
 	answers := s.arbitration.queue.Step(time.Now(), &arbiterWorld{server: s, now: time.Now()})
 	s.arbitration.mu.Unlock()
 	if len(answers) != 1 || answers[0].Decision != arbiter.Placed {
@@ -49,7 +49,7 @@
 		s := newTestServer(t, "front-1", "front-1")
 		given := placeFor(t, s, longAsk())
 		next := longAsk()
-		next.ID, next.Before, next.Tried = "front-1/call/1", "front-1/call/0", []loadshare.Key{given.Helpers[0]}
+		next.ID, next.Previous, next.Tried = "front-1/call/1", "front-1/call/0", []loadshare.Key{given.Helpers[0]}
 		s.takeOutcome(&net.UDPAddr{}, next)
 		s.fleet.mu.Lock()
 		defer s.fleet.mu.Unlock()
--- a/forward/place.go
+++ b/forward/place.go
@@ -75,7 +75,7 @@
 		return nil, ctx.Err(), true
 	}
 	x.predicted, x.readers, x.seen, x.age = answer.FirstEvent, 1+len(answer.Helpers), answer.Seen, answer.Age
-	if answer.Decision == arbiter.Hopeless {
+	if answer.Decision == arbiter.Infeasible {
 		now := time.Now()
 		if rest := x.restOfAll(now); rest.inVain() {
 			return nil, x.refuseResting(now, rest), true
@@ -96,22 +96,22 @@
 }
 
 // newAsk returns the ask for the next send, with the times of now.
-func (x *exchange) newAsk() *arbiter.Ask {
+func (x *exchange) newAsk() *arbiter.Request {
 	now := time.Now()
 	objective, waited := x.nextEvent(now)
-	ask := &arbiter.Ask{
-		ID:        fmt.Sprintf("%s/%s/%d", x.server.options.Process.Name, x.call.ID, x.tries),
-		Before:    x.lastAsk,
-		Service:   x.service.Name,
-		Prompt:    x.call.PromptTokens,
-		Answer:    x.call.AnswerTokens,
-		Objective: objective,
-		LongPause: x.longPause(),
-		Left:      x.deadline.Sub(now),
-		Waited:    waited,
-		Tried:     slices.Concat(x.tried, x.barred, x.closedEngines(now)),
-		Leads:     x.mayLead(),
-		Refused:   x.refused,
+	ask := &arbiter.Request{
+		ID:             fmt.Sprintf("%s/%s/%d", x.server.options.Process.Name, x.call.ID, x.tries),
+		Previous:       x.lastAsk,
+		Service:        x.service.Name,
+		Prompt:         x.call.PromptTokens,
+		Answer:         x.call.AnswerTokens,
+		Objective:      objective,
+		LongPause:      x.longPause(),
+		Remaining:      x.deadline.Sub(now),
+		Waited:         waited,
+		Tried:          slices.Concat(x.tried, x.barred, x.closedEngines(now)),
+		LeadCandidates: x.mayLead(),
+		Refused:        x.refused,
 	}
 	if x.events == 0 {
 		ask.PromptID = x.call.PromptID
@@ -254,7 +254,7 @@
 		Answer:    x.call.AnswerTokens,
 		Objective: objective,
 		LongPause: x.longPause(),
-		Left:      x.deadline.Sub(now),
+		Remaining: x.deadline.Sub(now),
 		Waited:    waited,
 	}
 }
@@ -277,7 +277,7 @@
 	if !found {
 		return nil, 0, x.hopeless(plan.FirstEvent, plan.Excess)
 	}
-	w := x.newWork(nodes[plan.Lead], plan.Part+plan.Apart)
+	w := x.newWork(nodes[plan.Lead], plan.Part+plan.Spacing)
 	for _, at := range plan.Helpers {
 		w.helpers = append(w.helpers, nodes[at])
 	}
--- a/placement/scale_test.go
+++ b/placement/scale_test.go
@@ -11,10 +11,10 @@
 	"celeryport/settings"
 )
 
-// stretch has all times of a fleet, of its routes and of its load some times as long.
-type stretch int
+// timeScale multiplies all durations of a fleet, of its routes and of its load.
+type timeScale int
 
-func (s stretch) profile(p settings.EngineProfile) *settings.EngineProfile {
+func (s timeScale) profile(p settings.EngineProfile) *settings.EngineProfile {
 	p.Step *= time.Duration(s)
 	p.StepPerWriter *= time.Duration(s)
 	p.StepPerContext *= time.Duration(s)
@@ -25,35 +25,35 @@
 	return &p
 }
 
-func (s stretch) engines(engines []Engine) []Engine {
+func (s timeScale) engines(engines []Engine) []Engine {
 	stretched := slices.Clone(engines)
 	for i := range stretched {
-		stretched[i].Load.Reading *= time.Duration(s)
+		stretched[i].Load.PrefillTime *= time.Duration(s)
 	}
 	return stretched
 }
 
-func (s stretch) call(call Call) *Call {
-	for _, t := range []*time.Duration{&call.Objective, &call.LongPause, &call.Left, &call.Waited, &call.Age, &call.Ahead} {
+func (s timeScale) call(call Call) *Call {
+	for _, t := range []*time.Duration{&call.Objective, &call.LongPause, &call.Remaining, &call.Waited, &call.Age, &call.Ahead} {
 		*t *= time.Duration(s)
 	}
 	return &call
 }
 
-// The engines of another customer are three times as slow, and its routes allow for
-// it. Limits that are fixed times fit one customer only: with all times three times as
-// long, one short prompt in eleven was refused by a fleet with room.
-func TestTheSameProblemHasTheSamePlan(t *testing.T) {
+// The engines of one customer are three times as slow as those of another, and its routes allow
+// for it. Limits that are fixed durations suit one of them only: with all durations multiplied
+// by three, a fleet with room rejected one short prompt in eleven.
+func TestPlansDoNotDependOnTheTimeScale(t *testing.T) {
 	base := *testProfile
-	base.Step, base.PairsPerM = 1312*time.Microsecond, 164*time.Microsecond // divisible without a rest
+	base.Step, base.PairsPerM = 1312*time.Microsecond, 164*time.Microsecond // divisible by the scales without remainder
 	random := rand.New(rand.NewPCG(1, 2))
 	for at := range 3000 {
 		engines, call := randomEngines(random), randomCall(random)
 		plan, found := Prompt(&base, engines, &call)
-		for _, s := range []stretch{2, 3, 10} {
+		for _, s := range []timeScale{2, 3, 10} {
 			other, otherFound := Prompt(s.profile(base), s.engines(engines), s.call(call))
 			if found != otherFound || summary(&plan) != summary(&other) {
-				t.Fatalf("case %d, times %d: %v %s, was %v %s; %+v", at, s, otherFound, summary(&other), found, summary(&plan), call)
+				t.Fatalf("case %d, scale %d: got %v %s, unscaled %v %s; %+v", at, s, otherFound, summary(&other), found, summary(&plan), call)
 			}
 		}
 	}
@@ -78,7 +78,7 @@
 		load := loadshare.Load{Streams: random.IntN(14), Held: random.IntN(testProfile.MemoryTokens), Leading: random.IntN(2)}
 		load.Tight = random.IntN(load.Streams + 1)
 		load.Late = random.IntN(load.Streams - load.Tight + 1)
-		load.Reading = time.Duration(random.IntN(1+busy)) * time.Millisecond * time.Duration(random.IntN(2))
+		load.PrefillTime = time.Duration(random.IntN(1+busy)) * time.Millisecond * time.Duration(random.IntN(2))
 		engines[i].Load = load
 	}
 	return engines
