--- a/forward/address_test.go
+++ b/forward/address_test.go
@@ -7,9 +7,9 @@
 	"celeryport/upstream"
 )
 
-// Guards against prompts that are rejected since an engine that died and the one that was
-// started at its address are both asked to read a part.
-func TestOneAddressGetsOnePart(t *testing.T) {
+// Guards against prompts that are rejected because a dead engine and the one started later at
+// the same address are both asked to read a part.
+func TestOnlyLatestEngineAtAnAddressIsEligible(t *testing.T) {
 	s := newTestServer(t, "front-1", "front-1")
 	announced := func(name, address string, ago time.Duration) upstream.Upstream {
 		return upstream.Upstream{
@@ -25,19 +25,19 @@
 	})
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
-	free, _, _ := s.fleet.candidates(time.Now(), snapshot, "model")
-	nodes := free.nodes
+	unlimited, _, _ := s.fleet.candidates(time.Now(), snapshot, "model")
+	nodes := unlimited.nodes
 	names := map[string]bool{}
 	for _, n := range nodes {
 		names[n.name] = true
 	}
 	if len(nodes) != 3 || names["dead"] {
-		t.Errorf("work goes to %v", names)
+		t.Errorf("eligible engines: %v, want three without the dead one", names)
 	}
 	later := upstream.NewSnapshot(2, time.Now(), []upstream.Upstream{
 		announced("started-at-last", "10.0.1.3:80", 0), announced("then-gone", "10.0.1.3:80", 0),
 	})
-	if free, _, _ := s.fleet.candidates(time.Now(), later, "model"); len(free.nodes) != 1 || free.nodes[0].name != "started-at-last" {
-		t.Errorf("a late word of the dead engine brings it back: %d engines at one address", len(nodes))
+	if unlimited, _, _ := s.fleet.candidates(time.Now(), later, "model"); len(unlimited.nodes) != 1 || unlimited.nodes[0].name != "started-at-last" {
+		t.Errorf("a late announcement makes the replaced engine eligible again: %d engines at one address", len(nodes))
 	}
 }
--- a/forward/aggregate.go
+++ b/forward/aggregate.go
@@ -16,44 +16,45 @@
 )
 
 const (
-	// aggregatePauseEach is what each instance of the fleet adds to the pause between two
-	// reports of a zone: so an instance gets no more of them the larger the fleet is.
-	aggregatePauseEach = 60 * time.Microsecond
-	// peerKept is how long an instance of the own zone that was heard counts as there:
-	// two full reports may be lost.
-	peerKept = 2*loadshare.FullInterval + 100*time.Millisecond
-	// aggregateAfter is how long an instance that has started listens before it sums up its
-	// zone: until it has heard a full report of each other one. Its zone would else look
-	// idle.
-	aggregateAfter = loadshare.FullInterval + 50*time.Millisecond
+	// aggregatePausePerInstance is added for each instance of the fleet to the pause between two
+	// reports of a zone, so that the rate at which an instance receives them does not grow with
+	// the fleet.
+	aggregatePausePerInstance = 60 * time.Microsecond
+	// peerRetention is how long an instance of the own zone counts as live after its last
+	// report: two full reports may be lost.
+	peerRetention = 2*loadshare.FullInterval + 100*time.Millisecond
+	// aggregationDelay is how long an instance that has started listens before it aggregates its
+	// zone: until it has received a full report of each other instance. Otherwise its zone would
+	// appear idle.
+	aggregationDelay = loadshare.FullInterval + 50*time.Millisecond
 )
 
-// aggregateZone tells the other availability zones what all instances of this one have
-// under way, whenever that falls to this instance. Each zone gets it through one of its
-// instances, which sends it on, so that it crosses to each zone once.
+// aggregateZone reports the total loads of this availability zone to the other zones while this
+// instance is the aggregator of the zone. Each zone receives a report through one of its
+// instances, which relays it, so that it crosses to each zone once.
 func (s *Server) aggregateZone(ctx context.Context, conn net.PacketConn) {
 	process := s.options.Process
 	id := fmt.Sprintf("%s/%d for its zone", process.Name, s.options.Plane.View().Incarnation)
 	reporter := loadshare.NewReporter(loadshare.KeyOf(id))
-	timer := time.NewTicker(loadshare.FullInterval)
-	defer timer.Stop()
-	aggregates := false
+	ticker := time.NewTicker(loadshare.FullInterval)
+	defer ticker.Stop()
+	isAggregator := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-timer.C:
-			// Looked at with each full report only: all instances of the zone hear of each
-			// change, and one of them needs to act.
-			if aggregates = s.aggregates(time.Now()); !aggregates {
+		case <-ticker.C:
+			// Checked with each full report only: all instances of the zone receive each change,
+			// and one of them has to act.
+			if isAggregator = s.isAggregator(time.Now()); !isAggregator {
 				reporter.Restart()
 				continue
 			}
-		case <-s.fleet.zoneNews:
-			if !aggregates {
+		case <-s.fleet.zoneLoadsChanged:
+			if !isAggregator {
 				continue
 			}
-			if !clock.Pause(ctx, time.Duration(len(s.options.Plane.View().Instances))*aggregatePauseEach) {
+			if !clock.Pause(ctx, time.Duration(len(s.options.Plane.View().Instances))*aggregatePausePerInstance) {
 				return
 			}
 		}
@@ -66,38 +67,38 @@
 	}
 }
 
-// aggregates reports whether it falls to this instance to sum up its zone.
-func (s *Server) aggregates(now time.Time) bool {
+// isAggregator reports whether this instance is the aggregator of its zone.
+func (s *Server) isAggregator(now time.Time) bool {
 	process, instances := s.options.Process, s.options.Plane.View().Instances
-	heard := s.fleet.peersSince(now.Add(-peerKept))
-	return now.Sub(s.fleet.began) >= aggregateAfter &&
+	heard := s.fleet.peersSince(now.Add(-peerRetention))
+	return now.Sub(s.fleet.startedAt) >= aggregationDelay &&
 		aggregatorOf(instances, process.Name, process.AvailabilityZone, heard) == process.Name
 }
 
-// aggregatorOf names the instance that sums up a zone: the first in an order that all of
-// them know, of those that this one has heard just now, itself included. When the
-// aggregator dies, the next one notices by its silence, before control does.
+// aggregatorOf returns the name of the instance that aggregates a zone: the first, in an order
+// known to all, of the instances that were heard recently, including self. When the aggregator
+// dies, the next instance notices the missing reports before control does.
 func aggregatorOf(instances []membership.Instance, self, zone string, heard map[netip.AddrPort]bool) string {
-	var there []string
+	var live []string
 	for i := range instances {
-		one := &instances[i]
-		if one.Address == "" || one.AvailabilityZone != zone || one.State == membership.Gone {
+		instance := &instances[i]
+		if instance.Address == "" || instance.AvailabilityZone != zone || instance.State == membership.Gone {
 			continue
 		}
-		if address, err := netip.ParseAddrPort(one.ControlAddress); one.Name == self || err == nil && heard[address] {
-			there = append(there, one.Name)
+		if address, err := netip.ParseAddrPort(instance.ControlAddress); instance.Name == self || err == nil && heard[address] {
+			live = append(live, instance.Name)
 		}
 	}
-	if len(there) == 0 {
+	if len(live) == 0 {
 		return ""
 	}
-	return slices.MaxFunc(there, func(a, b string) int {
-		return cmp.Or(cmp.Compare(weightFor(a, 0), weightFor(b, 0)), cmp.Compare(a, b))
+	return slices.MaxFunc(live, func(a, b string) int {
+		return cmp.Or(cmp.Compare(rendezvousWeight(a, 0), rendezvousWeight(b, 0)), cmp.Compare(a, b))
 	})
 }
 
-// peersSince returns the instances of the own zone that were heard since a moment, and
-// forgets the others.
+// peersSince returns the instances of the own zone that were heard since the given time, and
+// removes the others.
 func (f *fleet) peersSince(since time.Time) map[netip.AddrPort]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,7 +113,7 @@
 	return heard
 }
 
-// addressOf returns the address of a sender; the zero one if it has none.
+// addressOf returns the address of a sender, or the zero value if it is not a UDP address.
 func addressOf(from net.Addr) netip.AddrPort {
 	if udp, ok := from.(*net.UDPAddr); ok {
 		address := udp.AddrPort()
--- a/forward/aggregate_test.go
+++ b/forward/aggregate_test.go
@@ -10,9 +10,9 @@
 )
 
 func TestZoneAlwaysHasOneAggregator(t *testing.T) {
-	// One instance tells the other zones what its zone has under way. If it dies and
-	// nobody sums up, they place long prompts on engines that are full; if two do, each
-	// takes the place of the other.
+	// One instance of a zone reports the zone's loads to the other zones. If it dies and is not
+	// replaced, the other zones place long prompts on engines that are full; if two instances
+	// report, their reports overwrite each other.
 	var instances []membership.Instance
 	heard := map[netip.AddrPort]bool{}
 	address := func(n int) netip.AddrPort { return netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:7340", n+1)) }
@@ -34,27 +34,27 @@
 	}
 	first := aggregators()
 	if len(first) != 2 {
-		t.Fatalf("two zones have the aggregators %v", first)
+		t.Fatalf("aggregators of two zones: %v", first)
 	}
 	for n := range 8 {
 		if first[instances[n].Name] > 0 {
-			delete(heard, address(n)) // it died, and control does not know yet
+			delete(heard, address(n)) // it died and control has not noticed yet
 		}
 	}
 	second := aggregators()
 	if len(second) != 2 {
-		t.Fatalf("after the aggregators died there are %v", second)
+		t.Fatalf("aggregators after the first ones died: %v", second)
 	}
 	for name := range second {
 		if first[name] > 0 {
-			t.Errorf("%s is dead, and is taken for the aggregator", name)
+			t.Errorf("the dead instance %s is chosen as aggregator", name)
 		}
 	}
 }
 
-func TestDeadInstancesSendNothingOn(t *testing.T) {
-	// Control knows that an instance is gone. A report that it should send on is lost for
-	// a whole zone.
+func TestDeadInstancesAreNotChosenAsRelays(t *testing.T) {
+	// If control knows that an instance is gone, it must not be chosen as a relay: the report
+	// would be lost for its whole zone.
 	instances := []membership.Instance{
 		{Name: "gone", Address: "a", State: membership.Gone, AvailabilityZone: "z1", ControlAddress: "10.0.0.1:7340"},
 		{Name: "live", Address: "a", AvailabilityZone: "z1", ControlAddress: "10.0.0.2:7340"},
@@ -62,7 +62,7 @@
 	for sequence := range uint32(4) {
 		_, relays := recipients(instances, &settings.Process{Name: "front", AvailabilityZone: "z0"}, sequence)
 		if len(relays) != 1 || relays[0].String() != "10.0.0.2:7340" {
-			t.Fatalf("%v send on", relays)
+			t.Fatalf("relays: %v, want only the live instance", relays)
 		}
 	}
 }
--- a/forward/arbitration.go
+++ b/forward/arbitration.go
@@ -10,57 +10,61 @@
 	"celeryport/datagram"
 )
 
-// arbitration is this instance's part in the placing of long prompts: it asks for
-// its own, and decides for all when that falls to it.
+// arbitration is this instance's part in placing long prompts: it asks the arbiter of a service
+// to place its own prompts, and places those of all instances for the services whose arbiter it
+// is.
 type arbitration struct {
-	mu         sync.Mutex
-	conn       net.PacketConn                 // nil until the instance shares its loads
-	queue      *arbiter.Queue                 // of the asks that come here
-	askers     map[string]net.Addr            // where the answer to an ask goes; nil: to this instance
-	own        map[string]chan arbiter.Answer // asks of this instance
-	distrusted map[string]time.Time           // instances that did not answer, until when they are passed over
+	mu           sync.Mutex
+	conn         net.PacketConn                 // nil until ShareLoads runs
+	queue        *arbiter.Queue                 // asks received as the arbiter
+	askers       map[string]net.Addr            // address for the answer by ask ID; nil: an ask of this instance
+	pending      map[string]chan arbiter.Answer // channels of this instance's own asks by ID
+	unresponsive map[string]time.Time           // instances that did not answer, and until when they are skipped
 }
 
 const (
-	// askResend is how often an ask is repeated; one datagram takes a few milliseconds.
-	askResend = 40 * time.Millisecond
-	// silentResends is how many repeats without an answer say that the arbiter is gone.
-	silentResends = 3
-	// distrustFor is how long an instance that did not answer is passed over. Control
-	// notices a dead one within that time.
-	distrustFor = 3 * time.Second
-	// arbitersTried is how many instances are asked before this one decides alone: a
+	// askResendInterval is how often an unanswered ask is repeated; one datagram takes a few
+	// milliseconds.
+	askResendInterval = 40 * time.Millisecond
+	// maxSilentResends is the number of unanswered repeats after which the arbiter counts as
+	// unresponsive.
+	maxSilentResends = 3
+	// unresponsiveFor is how long an instance that did not answer is skipped. Control detects a
+	// dead instance within that time.
+	unresponsiveFor = 3 * time.Second
+	// maxArbiters is how many instances are asked before this one places the prompt itself: a
 	// quarter of a second at most, a sixteenth of the objective of long prompts.
-	arbitersTried = 2
-	// arbitrationTick is how often the asks that wait are looked at again.
+	maxArbiters = 2
+	// arbitrationTick is how often waiting asks are checked again.
 	arbitrationTick = 10 * time.Millisecond
-	// answersUnread is how many words of the arbiter may wait to be read.
-	answersUnread = 4
-	// grantKept is how long what was given away is counted here, until the one who
-	// asked tells of it: the pause before a report and the way, three times over.
-	grantKept = 50 * time.Millisecond
-	// grantKeptEach is what each instance of the fleet adds to it: the pause of the one
-	// who tells it to the other zones, as many times over.
-	grantKeptEach = 3 * aggregatePauseEach
+	// answerBuffer is the number of unread answers that an own ask buffers.
+	answerBuffer = 4
+	// grantRetention is how long a grant is counted here until the load reports of the asking
+	// instance include it: three times the pause before a report plus the transmission time.
+	grantRetention = 50 * time.Millisecond
+	// grantRetentionPerInstance is added to grantRetention for each instance of the fleet: three
+	// times its part of the pause before a zone's aggregated report.
+	grantRetentionPerInstance = 3 * aggregatePausePerInstance
 )
 
-// grantsKept is how long what was given away is counted in a fleet of so many instances.
-func grantsKept(instances int) time.Duration {
-	return grantKept + time.Duration(instances)*grantKeptEach
+// grantRetentionFor returns the retention of grants in a fleet with the given number of
+// instances.
+func grantRetentionFor(instances int) time.Duration {
+	return grantRetention + time.Duration(instances)*grantRetentionPerInstance
 }
 
 func newArbitration() *arbitration {
 	return &arbitration{
-		queue:      arbiter.NewQueue(),
-		askers:     map[string]net.Addr{},
-		own:        map[string]chan arbiter.Answer{},
-		distrusted: map[string]time.Time{},
+		queue:        arbiter.NewQueue(),
+		askers:       map[string]net.Addr{},
+		pending:      map[string]chan arbiter.Answer{},
+		unresponsive: map[string]time.Time{},
 	}
 }
 
-// takeAsk takes in an ask, answers it if there is an answer, and lets the asker
-// know otherwise that it is heard.
-func (s *Server) takeAsk(from net.Addr, ask *arbiter.Ask) {
+// handleAsk queues an ask and answers it if a decision is available. Otherwise it confirms to
+// the asking instance that the ask waits.
+func (s *Server) handleAsk(from net.Addr, ask *arbiter.Ask) {
 	a := s.arbitration
 	a.mu.Lock()
 	answer := a.queue.Take(time.Now(), ask)
@@ -70,41 +74,41 @@
 	}
 	a.mu.Unlock()
 	if answer == nil && !known {
-		s.takeOutcome(from, ask)
+		s.applyAskOutcome(from, ask)
 	}
 	if answer != nil {
 		s.sendAnswer(from, answer)
 		return
 	}
-	s.decide()
+	s.placeWaiting()
 	a.mu.Lock()
-	_, waits := a.askers[ask.ID]
+	_, waiting := a.askers[ask.ID]
 	a.mu.Unlock()
-	if waits {
+	if waiting {
 		s.sendAnswer(from, &arbiter.Answer{ID: ask.ID, Decision: arbiter.Waiting})
 	}
 }
 
-// takeOutcome learns from a new ask what became of the one before it.
-func (s *Server) takeOutcome(from net.Addr, ask *arbiter.Ask) {
+// applyAskOutcome applies what a new ask reveals about the previous ask of the same call.
+func (s *Server) applyAskOutcome(from net.Addr, ask *arbiter.Ask) {
 	if ask.Before != "" {
-		s.fleet.voidGrant(ask.Before)
+		s.fleet.revokeGrant(ask.Before)
 	}
 	if from != nil {
-		s.fleet.refusedHelpElsewhere(ask.Refused)
+		s.fleet.applyHelpRefusals(ask.Refused)
 	}
 }
 
 func (s *Server) sendAnswer(to net.Addr, answer *arbiter.Answer) {
 	if to == nil {
-		s.takeAnswer(answer)
+		s.handleAnswer(answer)
 		return
 	}
 	s.sendSealed(to, datagram.Answer, answer)
 }
 
-// decide gives places to asks that wait, as far as engines are free.
-func (s *Server) decide() {
+// decide places waiting asks as far as engines are free.
+func (s *Server) placeWaiting() {
 	a := s.arbitration
 	a.mu.Lock()
 	now := time.Now()
@@ -123,7 +127,7 @@
 	}
 }
 
-// arbitrate decides again and again while asks wait, until ctx ends.
+// arbitrate runs decide repeatedly while asks wait, until ctx ends.
 func (s *Server) arbitrate(ctx context.Context) {
 	ticker := time.NewTicker(arbitrationTick)
 	defer ticker.Stop()
@@ -137,7 +141,7 @@
 		waits := s.arbitration.queue.Waits()
 		s.arbitration.mu.Unlock()
 		if waits {
-			s.decide()
+			s.placeWaiting()
 		}
 	}
 }
--- a/forward/arbitration_ask.go
+++ b/forward/arbitration_ask.go
@@ -14,142 +14,143 @@
 	"celeryport/membership"
 )
 
-// arbiterOf returns the instance that decides for the long prompts of a service:
-// the one with the highest hash of both names that lives and has not failed to answer. All
-// instances agree on it without asking each other. It is nil when there is none.
+// arbiterOf returns the arbiter of a service: of the live instances that have not failed to
+// answer, the one with the highest hash of its name and the service's. All instances compute the
+// same one without communication. It is nil when there is none.
 func (s *Server) arbiterOf(now time.Time, service string) *membership.Instance {
 	return firstArbiter(s.options.Plane.View().Instances, service, func(name string) bool {
-		return now.Before(s.arbitration.distrusted[name])
+		return now.Before(s.arbitration.unresponsive[name])
 	})
 }
 
-// firstArbiter returns the instance that decides for a service among those that are not
-// passed over.
-func firstArbiter(instances []membership.Instance, service string, passedOver func(name string) bool) *membership.Instance {
+// firstArbiter returns the arbiter of a service among the instances for which skip returns
+// false.
+func firstArbiter(instances []membership.Instance, service string, skip func(name string) bool) *membership.Instance {
 	key := loadshare.KeyOf(service)
 	var best *membership.Instance
 	var most uint64
 	for i := range instances {
 		candidate := &instances[i]
-		if candidate.Address == "" || candidate.State == membership.Gone || passedOver != nil && passedOver(candidate.Name) {
+		if candidate.Address == "" || candidate.State == membership.Gone || skip != nil && skip(candidate.Name) {
 			continue
 		}
-		if weight := weightFor(candidate.Name, key); best == nil || weight > most {
+		if weight := rendezvousWeight(candidate.Name, key); best == nil || weight > most {
 			best, most = candidate, weight
 		}
 	}
 	return best
 }
 
-// askArbiter has a prompt placed. The last return is false when no arbiter answers;
-// a nil answer says that the caller has left.
+// askArbiter asks the arbiter to place a prompt. The last result is false when no arbiter
+// answers; a nil answer with true means that the caller has left.
 func (s *Server) askArbiter(ctx context.Context, service string, ask func() *arbiter.Ask) (*arbiter.Answer, bool) {
 	a := s.arbitration
-	answers := make(chan arbiter.Answer, answersUnread)
+	answers := make(chan arbiter.Answer, answerBuffer)
 	id := ask().ID
 	a.mu.Lock()
-	a.own[id] = answers
+	a.pending[id] = answers
 	a.mu.Unlock()
 	defer func() {
 		a.mu.Lock()
-		delete(a.own, id)
+		delete(a.pending, id)
 		a.mu.Unlock()
 	}()
-	for range arbitersTried {
+	for range maxArbiters {
 		a.mu.Lock()
 		chosen := s.arbiterOf(time.Now(), service)
 		a.mu.Unlock()
 		if chosen == nil {
 			return nil, false
 		}
-		answer, heard := s.askInstance(ctx, chosen, ask, answers)
-		if heard {
+		answer, responded := s.askInstance(ctx, chosen, ask, answers)
+		if responded {
 			return answer, true
 		}
 		a.mu.Lock()
-		a.distrusted[chosen.Name] = time.Now().Add(distrustFor)
+		a.unresponsive[chosen.Name] = time.Now().Add(unresponsiveFor)
 		a.mu.Unlock()
 		eventArbiterSilent.Log(s.options.Log, event.Fields{"call": id, "arbiter": chosen.Name, "address": chosen.ControlAddress})
 	}
 	return nil, false
 }
 
-// askInstance asks one instance until it answers; the last return is false when it
-// says nothing.
+// askInstance sends an ask to one instance until it answers. The last result is false when the
+// instance does not respond.
 func (s *Server) askInstance(ctx context.Context, chosen *membership.Instance, ask func() *arbiter.Ask, answers chan arbiter.Answer) (*arbiter.Answer, bool) {
-	timer := time.NewTicker(askResend)
-	defer timer.Stop()
-	for silent := 0; silent < silentResends; silent++ {
+	ticker := time.NewTicker(askResendInterval)
+	defer ticker.Stop()
+	for unanswered := 0; unanswered < maxSilentResends; unanswered++ {
 		s.sendAsk(chosen, ask())
-		answer, heard := awaitAnswer(ctx, timer.C, answers)
+		answer, responded := awaitAnswer(ctx, ticker.C, answers)
 		if ctx.Err() != nil {
 			return nil, true
 		}
 		if answer != nil {
 			return answer, answer.Decision != arbiter.Unknown
 		}
-		if heard {
-			silent = -1
+		if responded {
+			unanswered = -1
 		}
 	}
 	return nil, false
 }
 
-// awaitAnswer waits for the answer until the next tick. The last return says
-// whether the arbiter let know at least that the ask waits.
+// awaitAnswer waits for the answer until the next tick. The last result reports whether the
+// arbiter has at least confirmed that the ask waits.
 func awaitAnswer(ctx context.Context, tick <-chan time.Time, answers chan arbiter.Answer) (*arbiter.Answer, bool) {
-	heard := false
+	responded := false
 	for {
 		select {
 		case <-ctx.Done():
-			return nil, heard
+			return nil, responded
 		case <-tick:
-			return nil, heard
+			return nil, responded
 		case answer := <-answers:
 			if answer.Decision != arbiter.Waiting {
 				return &answer, true
 			}
-			heard = true
+			responded = true
 		}
 	}
 }
 
 func (s *Server) sendAsk(chosen *membership.Instance, ask *arbiter.Ask) {
 	if chosen.Name == s.options.Process.Name {
-		s.takeAsk(nil, ask)
+		s.handleAsk(nil, ask)
 		return
 	}
 	to, err := netip.ParseAddrPort(chosen.ControlAddress)
 	if err != nil {
-		return // the silence that follows has another instance asked
+		return // treated like a lost datagram: after the time-out another instance is asked
 	}
 	s.sendSealed(net.UDPAddrFromAddrPort(to), datagram.Ask, ask)
 }
 
-// sendSealed sends a message; a lost one is repeated by whoever waits for it.
+// sendSealed sends a message on a best-effort basis; the asking instance repeats an ask that
+// gets no answer.
 func (s *Server) sendSealed(to net.Addr, kind datagram.Kind, message any) {
 	s.arbitration.mu.Lock()
 	conn := s.arbitration.conn
 	s.arbitration.mu.Unlock()
 	content, err := json.Marshal(message)
 	if conn == nil || err != nil {
-		return // as if it was lost
+		return // treated like a lost datagram
 	}
-	_, _ = conn.WriteTo(datagram.Seal(s.options.Process.InstanceKey, kind, content), to) // see above
+	_, _ = conn.WriteTo(datagram.Seal(s.options.Process.InstanceKey, kind, content), to) // best effort
 }
 
-// takeAnswer hands an answer to the call that waits for it. One that comes too late
-// is dropped: its asker has decided without it.
-func (s *Server) takeAnswer(answer *arbiter.Answer) {
+// handleAnswer delivers an answer to the call that waits for it. A late answer is dropped
+// because its call has been placed without it.
+func (s *Server) handleAnswer(answer *arbiter.Answer) {
 	a := s.arbitration
 	a.mu.Lock()
-	waiting := a.own[answer.ID]
+	waiting := a.pending[answer.ID]
 	a.mu.Unlock()
 	if waiting == nil {
 		return
 	}
 	select {
 	case waiting <- *answer:
-	default: // an older word is not read yet; the answer comes again
+	default: // the buffer is full of unread answers; the arbiter sends the answer again
 	}
 }
--- a/forward/arbitration_test.go
+++ b/forward/arbitration_test.go
@@ -27,8 +27,8 @@
 
 func (p fixedPlane) ReportEvidence(quarantine.Evidence) {}
 
-// newTestServer returns a server that knows the instances and eighteen engines, and
-// whose datagrams are all lost.
+// newTestServer returns a server that knows the given instances and eighteen engines. It has no
+// connection, so that all its datagrams are lost.
 func newTestServer(t *testing.T, self string, instances ...string) *Server {
 	t.Helper()
 	registry := upstream.NewRegistry(time.Hour)
@@ -65,23 +65,22 @@
 }
 
 func TestInstanceDecidesAloneWhenTheArbiterIsSilent(t *testing.T) {
-	// The instance that places long prompts for all was cut off a moment ago. A call
-	// that waited for its answer until the deadline would be lost, although engines are
-	// free.
+	// The arbiter was cut off a moment ago. A call must not wait for its answer until the
+	// deadline while engines are free.
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, "front-1", "other-1", "other-2", "other-3")
 		began := time.Now()
-		answer, heard := s.askArbiter(context.Background(), "model", longAsk)
-		if heard {
-			t.Errorf("answered %+v", answer)
+		answer, responded := s.askArbiter(context.Background(), "model", longAsk)
+		if responded {
+			t.Errorf("unexpected answer %+v", answer)
 		}
 		if took := time.Since(began); took > time.Second/3 {
-			t.Errorf("it took %s until the instance decides alone", took)
+			t.Errorf("the instance places the prompt itself only after %s", took)
 		}
 		again := time.Now()
 		s.askArbiter(context.Background(), "model", longAsk)
-		if took := time.Since(again); took > silentResends*askResend {
-			t.Errorf("the next call waits for %s, for instances that were silent already", took)
+		if took := time.Since(again); took > maxSilentResends*askResendInterval {
+			t.Errorf("the next call waits %s for instances that were already unresponsive", took)
 		}
 	})
 }
@@ -89,9 +88,9 @@
 func TestArbiterAnswersItsOwnCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, "front-1", "front-1")
-		answer, heard := s.askArbiter(context.Background(), "model", longAsk)
-		if !heard || answer == nil || answer.Decision != arbiter.Placed {
-			t.Fatalf("answered %+v (%t)", answer, heard)
+		answer, responded := s.askArbiter(context.Background(), "model", longAsk)
+		if !responded || answer == nil || answer.Decision != arbiter.Placed {
+			t.Fatalf("answered %+v (%t)", answer, responded)
 		}
 		if loaded := s.fleet.inUse(s.options.Plane.View().Upstreams, "model")[answer.Lead].granted; len(loaded) != 1 {
 			t.Errorf("the arbiter counts %d grants at the lead", len(loaded))
@@ -99,35 +98,36 @@
 	})
 }
 
-func TestLeavingCallerEndsItsWait(t *testing.T) {
-	// All engines are busy, and the caller of a long prompt leaves. An ask that goes on
-	// would get engines for nobody.
+func TestLeavingCallerEndsItsAsk(t *testing.T) {
+	// All engines are busy and the caller of a long prompt leaves. If its ask stayed queued,
+	// engines would be assigned to an abandoned call.
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, "front-1", "front-1")
 		s.fleet.mu.Lock()
-		free, _, _ := s.fleet.candidates(time.Now(), s.options.Plane.View().Upstreams, "model")
-		for _, n := range free.nodes {
+		unlimited, _, _ := s.fleet.candidates(time.Now(), s.options.Plane.View().Upstreams, "model")
+		for _, n := range unlimited.nodes {
 			s.fleet.begin(time.Now(), &work{lead: n, part: time.Second})
 		}
 		s.fleet.mu.Unlock()
 		ctx, leave := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer leave()
-		answer, heard := s.askArbiter(ctx, "model", longAsk)
-		if answer != nil || !heard {
-			t.Errorf("answered %+v (%t)", answer, heard)
+		answer, responded := s.askArbiter(ctx, "model", longAsk)
+		if answer != nil || !responded {
+			t.Errorf("answered %+v (%t)", answer, responded)
 		}
 		time.Sleep(time.Second)
-		s.decide()
+		s.placeWaiting()
 		if s.arbitration.queue.Waits() {
-			t.Error("the ask still waits")
+			t.Error("the ask is still queued")
 		}
 	})
 }
 
 func TestCallsWaitForTheFirstUpstreams(t *testing.T) {
-	// The whole fleet lost its power and is back, and no upstream has announced itself
-	// yet. Callers that are refused come back a moment too early and are refused
-	// again, for good. Later on, a service without upstreams is refused at once.
+	// After a power loss of the whole fleet no upstream has announced itself yet. Calls must
+	// wait for the first announcements: refused callers would retry a moment too early and be
+	// refused for good. Long after the start, a call for a service without upstreams is refused
+	// at once.
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, "front-1", "front-1")
 		call := func() *exchange {
@@ -140,11 +140,11 @@
 		if _, wait, err := x.tryPlace(); wait == 0 || err != nil {
 			t.Errorf("just started: wait %s, %v", wait, err)
 		}
-		time.Sleep(upstreamsWait)
+		time.Sleep(maxUpstreamsWait)
 		if _, wait, err := x.tryPlace(); wait > 0 || err == nil {
-			t.Errorf("after its bound: wait %s, %v", wait, err)
+			t.Errorf("after the maximum wait: wait %s, %v", wait, err)
 		}
-		time.Sleep(startTime)
+		time.Sleep(startupGrace)
 		if _, wait, err := call().tryPlace(); wait > 0 || err == nil {
 			t.Errorf("long after the start: wait %s, %v", wait, err)
 		}
@@ -152,9 +152,9 @@
 }
 
 func TestArbiterThatMissedALeavingEngineIsNotFollowed(t *testing.T) {
-	// An engine said that it leaves and was promised to get nothing more. The instance
-	// that places long prompts for all has missed that, and names it. The call has to go
-	// elsewhere, or it is cut off when the engine ends.
+	// An engine announced that it leaves and must get no new requests. The arbiter has not seen
+	// that and names it. The call has to go to another engine, or it is interrupted when the
+	// engine ends.
 	s := newTestServer(t, "front-1", "front-1")
 	view := *s.options.Plane.View()
 	upstreams := slices.Clone(view.Upstreams.Upstreams)
@@ -170,20 +170,20 @@
 		"helper": {Lead: staying.key, Helpers: []loadshare.Key{leaving.key}},
 		"memory": {Lead: staying.key, Reserved: []arbiter.Reserved{{Engine: leaving.key, Tokens: 1}}},
 	} {
-		if _, unusable := x.workFor(answer); !slices.Contains(unusable, leaving.key) || slices.Contains(unusable, staying.key) {
+		if _, unusable := x.workFromAnswer(answer); !slices.Contains(unusable, leaving.key) || slices.Contains(unusable, staying.key) {
 			t.Errorf("the leaving engine is used as %s", name)
 		}
 	}
-	if _, unusable := x.workFor(&arbiter.Answer{Lead: staying.key}); len(unusable) > 0 {
+	if _, unusable := x.workFromAnswer(&arbiter.Answer{Lead: staying.key}); len(unusable) > 0 {
 		t.Error("an engine that stays is not used")
 	}
 }
 
-func TestRememberedEnginesAreUsedAfterAStart(t *testing.T) {
-	// The whole fleet lost its power and is back. Voters remember eighteen engines, and
-	// two of them have announced themselves so far. If only these two are used, they are
-	// overrun, and callers are refused while sixteen engines idle. An instance that
-	// runs for long takes silence for what it is.
+func TestRestoredEnginesAreUsedAfterAStart(t *testing.T) {
+	// After a power loss of the whole fleet, voters have restored eighteen engines and two of
+	// them have announced themselves so far. If only these two were used, they would be
+	// overloaded and callers refused while sixteen engines idle. Long after the start, silence
+	// counts against an engine.
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, "front-1", "front-1")
 		view := *s.options.Plane.View()
@@ -197,21 +197,21 @@
 		usable := func() int {
 			s.fleet.mu.Lock()
 			defer s.fleet.mu.Unlock()
-			free, _, _ := s.fleet.candidates(time.Now(), snapshot, "model")
+			unlimited, _, _ := s.fleet.candidates(time.Now(), snapshot, "model")
 			count := 0
-			for i := range free.engines {
-				if !free.engines[i].Avoid {
+			for i := range unlimited.engines {
+				if !unlimited.engines[i].Avoid {
 					count++
 				}
 			}
 			return count
 		}
 		if got := usable(); got != 18 {
-			t.Errorf("just started: %d of 18 engines are used", got)
+			t.Errorf("just started: %d of 18 engines are not avoided", got)
 		}
-		time.Sleep(startTime)
+		time.Sleep(startupGrace)
 		if got := usable(); got != 2 {
-			t.Errorf("long after the start: %d engines are used, want the 2 that are heard", got)
+			t.Errorf("long after the start: %d engines are not avoided, want the 2 that announce themselves", got)
 		}
 	})
 }
--- a/forward/arbitration_world.go
+++ b/forward/arbitration_world.go
@@ -9,7 +9,7 @@
 	"celeryport/settings"
 )
 
-// arbiterWorld is what this instance knows when it decides for all.
+// arbiterWorld gives the arbiter this instance's view of the fleet. It implements arbiter.World.
 type arbiterWorld struct {
 	server *Server
 	now    time.Time
@@ -25,13 +25,13 @@
 	f := w.server.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	free, open, full := f.candidates(w.now, view.Upstreams, service)
-	free.join(open)
-	if len(free.nodes) == 0 && full > 0 {
-		return nil // each instance places by its own part of the rates
+	unlimited, withRoom, full := f.candidates(w.now, view.Upstreams, service)
+	unlimited.join(withRoom)
+	if len(unlimited.nodes) == 0 && full > 0 {
+		return nil // each instance places its own prompts within its share of the rates
 	}
-	fleet := &arbiter.Fleet{Profile: profile, Engines: free.engines}
-	for _, n := range free.nodes {
+	fleet := &arbiter.Fleet{Profile: profile, Engines: unlimited.engines}
+	for _, n := range unlimited.nodes {
 		fleet.Keys = append(fleet.Keys, n.key)
 	}
 	return fleet
@@ -52,7 +52,7 @@
 	view := w.server.options.Plane.View()
 	profile := engineProfile(view.Tree, ask.Service)
 	if profile == nil {
-		return // the service was removed since the place was given
+		return // the service was removed after the placement
 	}
 	f := w.server.fleet
 	f.mu.Lock()
@@ -60,36 +60,36 @@
 	loads := answer.Loads(profile, ask)
 	for _, n := range f.nodes {
 		if load, given := loads[n.key]; given {
-			f.countLimited(w.now, n)
+			f.consumeRate(w.now, n)
 			load.Reading += f.loadOf(w.now, n).Reading
-			n.granted = append(n.granted, grant{ask: ask.ID, load: load, at: w.now, kept: grantsKept(len(view.Instances))})
+			n.granted = append(n.granted, grant{ask: ask.ID, load: load, at: w.now, retention: grantRetentionFor(len(view.Instances))})
 		}
 	}
 }
 
-// grant is what the arbiter gave away at a node a moment ago.
+// grant is a load that the arbiter recently assigned to a node.
 type grant struct {
-	ask  string // its ID
-	load loadshare.Load
-	at   time.Time
-	kept time.Duration // until the asker's own reports count its streams and memory
+	ask       string // ID of the ask
+	load      loadshare.Load
+	at        time.Time
+	retention time.Duration // until the asking instance's reports include its streams and memory
 }
 
-// loadAt returns what a grant still loads its node with; the last return is false when it
-// is nothing any more. The reading counts until its predicted end, since the longer of two
-// readings holds: the reports of the asker's availability zone may be missing for a second
-// after the loss of the instance that sends them on.
-func (g *grant) loadAt(now time.Time) (loadshare.Load, bool) {
+// remainingLoad returns the load that a grant still adds to its node; the last result is false
+// when none is left. The reading part counts until its predicted end, because overlapping
+// readings combine by their maximum and because the reports of the asking instance's
+// availability zone may be missing for a second after the loss of the instance that relays them.
+func (g *grant) remainingLoad(now time.Time) (loadshare.Load, bool) {
 	passed := now.Sub(g.at)
 	left := g.load.After(passed)
-	if passed < g.kept {
+	if passed < g.retention {
 		return left, true
 	}
 	return loadshare.Load{Reading: left.Reading}, left.Reading > 0
 }
 
-// voidGrant forgets what an ask was given: its prompt is placed again.
-func (f *fleet) voidGrant(ask string) {
+// revokeGrant removes the loads granted to an ask, because its prompt is being placed again.
+func (f *fleet) revokeGrant(ask string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.nodes {
--- a/forward/broken_send.go
+++ b/forward/broken_send.go
@@ -11,29 +11,32 @@
 	"celeryport/quarantine"
 )
 
-// brokenSend is a send whose connection the upstream ended before the answer was whole.
+// brokenSend is a send whose connection failed at the upstream's end before the answer was
+// complete.
 type brokenSend struct {
 	request quarantine.Fingerprint
 	phase   phase
-	ran     time.Duration // since the head of the answer came; 0 before
-	whole   bool          // an answer comes whole or not at all, so that nothing shows when it begins
-	silent  bool          // nothing came any more: the upstream crashed, or the way to it is cut
+	runTime time.Duration // time since the head of the answer arrived; 0 if it has not
+	whole   bool          // the answer is sent as a whole, so that it does not show when the upstream begins to run the call
+	silent  bool          // the upstream stopped responding: it crashed, or the network path to it failed
 }
 
 const (
-	// crashWindow is how soon after it has begun to run a request an upstream ends that is
-	// crashed by it.
+	// crashWindow is the time after it began to run a request within which an upstream ends if
+	// the request crashes it.
 	crashWindow = 300 * time.Millisecond
 	// lateCrashWindow is the time up to which the request may still be the cause.
 	lateCrashWindow = time.Second
 )
 
-// mayBeCause reports whether the upstream ended a moment after it was seen to begin.
+// mayBeCause reports whether the upstream ended shortly after it was observed to begin running
+// the request.
 func (b *brokenSend) mayBeCause() bool {
-	return !b.silent && b.phase != phaseUnanswered && b.ran <= crashWindow
+	return !b.silent && b.phase != phaseUnanswered && b.runTime <= crashWindow
 }
 
-// evidence says what the end of the upstream tells of the request; false: nothing.
+// evidence returns what the end of the upstream indicates about the request; the last result is
+// false if it indicates nothing.
 func (b *brokenSend) evidence() (quarantine.Outcome, bool) {
 	switch {
 	case b.silent:
@@ -44,15 +47,15 @@
 		return quarantine.EndedWaiting, true
 	case b.mayBeCause():
 		return quarantine.EndedStarted, true
-	case b.ran <= lateCrashWindow:
+	case b.runTime <= lateCrashWindow:
 		return quarantine.EndedWaiting, true
 	default:
 		return 0, false
 	}
 }
 
-// endedByPeer reports whether an error says that the other side closed the connection or
-// fell silent, as a process that crashes does.
+// endedByPeer reports whether an error means that the peer closed the connection or stopped
+// responding, as a crashing process does.
 func endedByPeer(err error) bool {
 	return errors.IsAny(err, io.EOF, io.ErrUnexpectedEOF, httpwire.ErrTruncated, errSilent, syscall.ECONNRESET, syscall.EPIPE)
 }
--- a/forward/budget.go
+++ b/forward/budget.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// budgets bound, for each service, how many sends may follow the first sends of
-// calls. All instances together have to keep the bound without asking each other
-// at every repeat: each uses its own share, which is a part of its own calls and
-// an equal part of the slack.
+// budgets limits, per service, how many sends may follow the first sends of calls. All instances
+// together have to stay within the limit without coordinating each repeat, so each instance uses
+// only its share: a ratio of its own calls plus an equal part of the slack.
 //
-// Without the bound a service that begins to fail gets all its calls twice, just
-// when it can bear them least.
+// Without the limit, a service that begins to fail would receive all its calls twice just when
+// it is least able to handle them.
 type budgets struct {
 	budget    RepeatBudget
 	instances func() int
@@ -19,48 +18,48 @@
 	services  map[string]*serviceBudget
 }
 
-// serviceBudget holds the times of the calls and repeats of one window.
+// serviceBudget holds the times of the calls and repeats within the window.
 type serviceBudget struct {
 	calls   []time.Time
 	repeats []time.Time
 }
 
 const (
-	// ratioUsed and slackUsed leave room for instances that disagree for a moment
-	// on how many they are, and for calls that fall out of the window earlier at
-	// the upstreams than here.
-	ratioUsed = 0.8
-	slackUsed = 0.7
+	// ratioFraction and slackFraction leave room for instances that briefly disagree on the
+	// number of instances, and for calls that leave the window earlier at the upstreams than
+	// here.
+	ratioFraction = 0.8
+	slackFraction = 0.7
 )
 
 func newBudgets(budget RepeatBudget, instances func() int) *budgets {
 	return &budgets{budget: budget, instances: instances, services: map[string]*serviceBudget{}}
 }
 
-// call notes the first send of a call.
-func (b *budgets) call(now time.Time, service string) {
+// recordCall records the first send of a call.
+func (b *budgets) recordCall(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.of(now, service)
+	s := b.window(now, service)
 	s.calls = append(s.calls, now)
 }
 
-// arrival returns how many calls a second came for a service of late.
-func (b *budgets) arrival(now time.Time, service string) float64 {
+// callRate returns how many calls per second recently arrived for a service.
+func (b *budgets) callRate(now time.Time, service string) float64 {
 	if b.budget.Window <= 0 {
 		return 0
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return float64(len(b.of(now, service).calls)) / b.budget.Window.Seconds()
+	return float64(len(b.window(now, service).calls)) / b.budget.Window.Seconds()
 }
 
-// take asks for one repeat and reports whether it may be sent.
-func (b *budgets) take(now time.Time, service string) bool {
+// takeRepeat reports whether one more repeat may be sent and counts it if so.
+func (b *budgets) takeRepeat(now time.Time, service string) bool {
 	share := b.share()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.of(now, service)
+	s := b.window(now, service)
 	if !s.allows(b.budget.Ratio, share) {
 		return false
 	}
@@ -68,37 +67,37 @@
 	return true
 }
 
-// open reports whether a repeat could be sent now.
-func (b *budgets) open(now time.Time, service string) bool {
+// allowsRepeat reports whether a repeat could be sent now, without counting one.
+func (b *budgets) allowsRepeat(now time.Time, service string) bool {
 	share := b.share()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(now, service).allows(b.budget.Ratio, share)
+	return b.window(now, service).allows(b.budget.Ratio, share)
 }
 
-// share is this instance's part of the slack.
-func (b *budgets) share() float64 { return b.budget.Slack * slackUsed / float64(b.instances()) }
+// share returns this instance's part of the slack.
+func (b *budgets) share() float64 { return b.budget.Slack * slackFraction / float64(b.instances()) }
 
 // allows reports whether one more repeat is within the budget.
 func (s *serviceBudget) allows(ratio, share float64) bool {
-	return float64(len(s.repeats)+1) <= ratio*ratioUsed*float64(len(s.calls))+share
+	return float64(len(s.repeats)+1) <= ratio*ratioFraction*float64(len(s.calls))+share
 }
 
-// of returns the window of a service up to now.
-func (b *budgets) of(now time.Time, service string) *serviceBudget {
+// window returns the record of a service, with entries before the current window removed.
+func (b *budgets) window(now time.Time, service string) *serviceBudget {
 	s := b.services[service]
 	if s == nil {
 		s = &serviceBudget{}
 		b.services[service] = s
 	}
 	begin := now.Add(-b.budget.Window)
-	s.calls = since(s.calls, begin)
-	s.repeats = since(s.repeats, begin)
+	s.calls = dropBefore(s.calls, begin)
+	s.repeats = dropBefore(s.repeats, begin)
 	return s
 }
 
-// since drops the times before begin; times are in order.
-func since(times []time.Time, begin time.Time) []time.Time {
+// dropBefore removes the times before begin. times is in ascending order.
+func dropBefore(times []time.Time, begin time.Time) []time.Time {
 	drop := 0
 	for drop < len(times) && times[drop].Before(begin) {
 		drop++
--- a/forward/caller_conn.go
+++ b/forward/caller_conn.go
@@ -14,15 +14,14 @@
 	"celeryport/httpwire"
 )
 
-// callerConn is one connection of a caller. Calls on it are answered one after
-// the other.
+// callerConn is one connection of a caller. Its calls are answered one after the other.
 type callerConn struct {
 	server *Server
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// callerBuffer holds the head of a usual call.
+// callerBuffer is large enough for the head of a typical call.
 const callerBuffer = 4 << 10
 
 func newCallerConn(s *Server, conn net.Conn) *callerConn {
@@ -31,7 +30,7 @@
 
 // serve answers calls until the connection ends or has to be closed.
 func (c *callerConn) serve() {
-	defer func() { _ = c.conn.Close() }() // it may be closed already
+	defer func() { _ = c.conn.Close() }() // the connection may be closed already
 	for {
 		received, err := c.receive()
 		if err != nil {
@@ -44,16 +43,16 @@
 	}
 }
 
-// received is a call that was read whole.
+// received is a call that was read completely.
 type received struct {
 	head  *httpwire.RequestHead
 	body  []byte
-	began time.Time // when its first byte came
+	began time.Time // when its first byte arrived
 }
 
-// receive reads the next call. The caller may stay idle for long before it, but
-// has to send its head within the limit from the first byte on: a head that
-// trickles in would hold the connection for ever.
+// receive reads the next call. The caller may be idle for a long time before a call, but once
+// the first byte has arrived it has to send the head within the limit; otherwise a caller that
+// sends its head very slowly could hold the connection indefinitely.
 func (c *callerConn) receive() (*received, error) {
 	limits := callerLimits(c.server.options.Plane.View())
 	if err := c.conn.SetReadDeadline(time.Now().Add(limits.IdleTimeout)); err != nil {
@@ -86,14 +85,14 @@
 	return &received{head: head, body: body, began: began}, nil
 }
 
-// bodyTimeout is the time that a body may take beyond the limit of the header: a
-// body of 4 MB over a slow link takes a few seconds.
+// bodyTimeout is the time that a body may take in addition to the limit of the header: a body of
+// 4 MB over a slow link takes a few seconds.
 const bodyTimeout = 10 * time.Second
 
-// errIdle ends a connection on which no call began.
-var errIdle = errors.New("no call began")
+// errIdle means that the connection ended before a call began.
+var errIdle = errors.New("connection ended before a call began")
 
-// answer answers one call and reports whether the connection can be used again.
+// answer answers one call and reports whether the connection can be reused.
 func (c *callerConn) answer(r *received) bool {
 	s := c.server
 	s.inFlight.Add(1)
@@ -113,8 +112,8 @@
 	return watch.stop() && w.reusable()
 }
 
-// reject answers what could not be read, if the caller is still there, and ends
-// the connection: where the next call on it would begin is not known.
+// reject answers a call that could not be read, if the caller is still connected, and ends the
+// connection, because the start of the next call on it is unknown.
 func (c *callerConn) reject(err error) {
 	if errors.Is(err, errIdle) {
 		return
@@ -134,16 +133,16 @@
 	c.linger()
 }
 
-// linger reads on for a moment after the last answer: closing a connection with
-// unread bytes resets it, and the reset may overtake the answer.
+// linger continues to read for a moment after the last answer: closing a connection with unread
+// bytes resets it, and the reset may overtake the answer.
 func (c *callerConn) linger() {
 	if half, ok := c.conn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite() // the read below ends by its deadline anyhow
+		_ = half.CloseWrite() // if this fails, the read below still ends at its deadline
 	}
 	if c.conn.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
 		return
 	}
-	_, _ = io.CopyN(io.Discard, c.reader, lingerBytes) // whatever comes is thrown away
+	_, _ = io.CopyN(io.Discard, c.reader, lingerBytes) // the received data is discarded
 }
 
 const (
--- a/forward/caller_writer.go
+++ b/forward/caller_writer.go
@@ -8,21 +8,21 @@
 	"celeryport/httpwire"
 )
 
-// callerWriter writes the one answer of a call.
+// callerWriter writes the answer of one call.
 type callerWriter struct {
 	conn    net.Conn
-	close   bool // the connection is closed after the answer
+	close   bool // close the connection after the answer
 	method  string
 	buffer  []byte
 	begun   bool
-	ended   bool  // the answer is whole
-	failure error // of the connection
+	ended   bool  // the answer was written completely
+	failure error // first write error of the connection
 }
 
 // writeTimeout bounds one write to a caller that does not read.
 const writeTimeout = 5 * time.Second
 
-// whole writes an answer with its body.
+// whole writes a complete answer with its body.
 func (w *callerWriter) whole(head *httpwire.ResponseHead, body []byte) {
 	head.Body = httpwire.Framing{Kind: httpwire.Sized, Length: int64(len(body))}
 	head.Close = w.close
@@ -34,7 +34,7 @@
 	w.ended = w.failure == nil
 }
 
-// begin prepares the head of an answer in parts; it leaves with the first part.
+// begin prepares the head of a chunked answer; it is sent with the first part.
 func (w *callerWriter) begin(head *httpwire.ResponseHead) {
 	head.Body = httpwire.Framing{Kind: httpwire.Chunked}
 	head.Close = w.close
@@ -42,14 +42,13 @@
 	w.begun = true
 }
 
-// part writes one part of an answer.
+// part writes one part of a chunked answer.
 func (w *callerWriter) part(data []byte) {
 	w.buffer = httpwire.AppendChunk(w.buffer, data)
 	w.flush()
 }
 
-// end ends an answer in parts as complete. Without it the caller sees that the
-// answer broke off.
+// end completes a chunked answer. Without it the caller can tell that the answer is truncated.
 func (w *callerWriter) end() {
 	w.buffer = append(w.buffer, httpwire.LastChunk...)
 	w.flush()
--- a/forward/candidates.go
+++ b/forward/candidates.go
@@ -7,7 +7,7 @@
 	"celeryport/upstream"
 )
 
-// candidates are nodes of a service, and what is known of them.
+// candidates holds nodes of a service and the placement input for each of them.
 type candidates struct {
 	nodes   []*node
 	engines []placement.Engine
@@ -17,7 +17,7 @@
 	c.nodes, c.engines = append(c.nodes, n), append(c.engines, e)
 }
 
-// remove drops the nodes for which a condition holds.
+// remove drops the nodes for which condition returns true.
 func (c *candidates) remove(condition func(n *node) bool) {
 	kept := 0
 	for i, n := range c.nodes {
@@ -33,13 +33,13 @@
 	c.nodes, c.engines = append(c.nodes, other.nodes...), append(c.engines, other.engines...)
 }
 
-// candidates lists the nodes of a service that may get work: those that name no rate, those
-// whose rate leaves room for a request of this instance, and the number of the others. The
-// lock must be held.
-func (f *fleet) candidates(now time.Time, snapshot *upstream.Snapshot, service string) (free, open *candidates, full int) {
-	nodes, upstreams := f.workers(snapshot, service)
-	free = &candidates{nodes: make([]*node, 0, len(nodes)), engines: make([]placement.Engine, 0, len(nodes))}
-	open = &candidates{}
+// candidates lists the nodes of a service that are eligible for work: unlimited are those
+// without a named rate, limited those whose rate leaves room for a request of this instance, and
+// full counts the nodes whose rate is used up. The lock must be held.
+func (f *fleet) candidates(now time.Time, snapshot *upstream.Snapshot, service string) (unlimited, withRoom *candidates, full int) {
+	nodes, upstreams := f.eligibleNodes(snapshot, service)
+	unlimited = &candidates{nodes: make([]*node, 0, len(nodes)), engines: make([]placement.Engine, 0, len(nodes))}
+	withRoom = &candidates{}
 	for i, n := range nodes {
 		load := f.loadOf(now, n)
 		engine := placement.Engine{
@@ -48,40 +48,41 @@
 			Near:  n.zone == f.options.Process.AvailabilityZone,
 			Avoid: n.health(now, load, f.silent(now, upstreams[i])).avoid(),
 		}
-		switch limited, may := f.limited(now, n); {
+		switch limited, allowed := f.limited(now, n); {
 		case !limited:
-			free.add(n, engine)
-		case may:
-			open.add(n, engine)
+			unlimited.add(n, engine)
+		case allowed:
+			withRoom.add(n, engine)
 		default:
 			full++
 		}
 	}
-	return free, open, full
+	return unlimited, withRoom, full
 }
 
-// workers lists the nodes of a service that may get work, and what they announced. The
-// lock must be held.
-func (f *fleet) workers(snapshot *upstream.Snapshot, service string) ([]*node, []*upstream.Upstream) {
+// eligibleNodes lists the nodes of a service that are eligible for work, with the upstream entry
+// of each. The lock must be held.
+func (f *fleet) eligibleNodes(snapshot *upstream.Snapshot, service string) ([]*node, []*upstream.Upstream) {
 	serving := snapshot.Serving(service)
 	for _, at := range serving {
-		f.node(&snapshot.Upstreams[at]) // all are known before it is asked who has an address
+		f.node(&snapshot.Upstreams[at]) // register all nodes before eligible looks up the node of an address
 	}
 	nodes := make([]*node, 0, len(serving))
 	upstreams := make([]*upstream.Upstream, 0, len(serving))
 	for _, at := range serving {
 		u := &snapshot.Upstreams[at]
-		if n := f.node(u); f.mayWork(n, &u.Announcement) {
+		if n := f.node(u); f.eligible(n, &u.Announcement) {
 			nodes, upstreams = append(nodes, n), append(upstreams, u)
 		}
 	}
 	return nodes, upstreams
 }
 
-// silent reports whether an upstream ceased to announce itself. An instance that has
-// just started knows most upstreams from what was remembered, and could not hear them
-// before: with those passed over, all calls of a fleet that is back from a loss of
-// power go to the few engines that are heard first, and most are refused until all are.
+// silent reports whether an upstream has stopped announcing itself. An instance that has just
+// started knows most upstreams only from restored state and had no chance to receive their
+// announcements, so silence does not count during startup. Otherwise, after a power loss of the
+// whole fleet, all calls would go to the few engines that announce themselves first, and most
+// would be refused.
 func (f *fleet) silent(now time.Time, u *upstream.Upstream) bool {
-	return u.StateAt(now) == upstream.Silent && now.Sub(f.began) >= startTime
+	return u.StateAt(now) == upstream.Silent && now.Sub(f.startedAt) >= startupGrace
 }
--- a/forward/conclude.go
+++ b/forward/conclude.go
@@ -11,11 +11,11 @@
 	"celeryport/verdict"
 )
 
-// giveUp ends the call after the last send, with the upstream's own failure if
-// there is one.
-func (x *exchange) giveUp(last *outcome, err error) {
-	if last != nil && last.held != nil && !x.writer.begun {
-		x.pass(last.held)
+// abandon ends the call after its last send, with the upstream's own failure answer if there is
+// one.
+func (x *exchange) abandon(last *outcome, err error) {
+	if last != nil && last.ownFailure != nil && !x.writer.begun {
+		x.forwardFailure(last.ownFailure)
 		return
 	}
 	if last != nil && x.mayHaveRun() {
@@ -24,16 +24,16 @@
 	x.refuse(err)
 }
 
-// pass hands on an upstream's own failure.
-func (x *exchange) pass(held *heldAnswer) {
+// forwardFailure forwards an upstream's own failure answer to the caller.
+func (x *exchange) forwardFailure(failed *failureAnswer) {
 	x.firstAt = time.Now()
-	x.writer.whole(&httpwire.ResponseHead{Status: held.status, Reason: held.reason, Fields: held.fields}, held.body)
+	x.writer.whole(&httpwire.ResponseHead{Status: failed.status, Reason: failed.reason, Fields: failed.fields}, failed.body)
 	x.end("upstream-failure")
-	eventServed.Log(x.server.options.Log, x.fields(event.Fields{"status": held.status}))
+	eventServed.Log(x.server.options.Log, x.fields(event.Fields{"status": failed.status}))
 }
 
-// refuse ends the call with an answer of this instance, or breaks the answer off
-// if it has begun.
+// refuse ends the call with an error answer of this instance, or aborts the answer if it has
+// begun.
 func (x *exchange) refuse(err error) {
 	failed := verdict.From(err)
 	if x.writer.begun {
@@ -63,27 +63,27 @@
 	eventFailed.Log(x.server.options.Log, x.fields(more))
 }
 
-// promisesNotRun reports whether callers take a status as the promise that the
-// call has not run and never will.
+// promisesNotRun reports whether callers take a status as a guarantee that the call has not run
+// and never will.
 func promisesNotRun(status int) bool {
 	return slices.Contains([]int{
 		http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest,
 	}, status)
 }
 
-func (x *exchange) served() {
-	x.server.fleet.suspects.served(time.Now(), x.fingerprint)
+func (x *exchange) recordServed() {
+	x.server.fleet.suspects.recordServed(time.Now(), x.fingerprint)
 	x.end("served")
 	eventServed.Log(x.server.options.Log, x.fields(event.Fields{"status": http.StatusOK}))
 }
 
-func (x *exchange) left() {
+func (x *exchange) callerLeft() {
 	x.writer.close = true
 	x.end("caller-left")
 	eventCallerLeft.Log(x.server.options.Log, x.fields(nil))
 }
 
-func (x *exchange) noteFailedSend(o *outcome) {
+func (x *exchange) recordFailedSend(o *outcome) {
 	x.server.options.Metrics.sent(x.service.Name, o.verdict.String())
 	fields := event.Fields{
 		"call": x.call.ID, "upstream": x.target.name, "address": x.target.address, "verdict": o.verdict.String(),
@@ -95,7 +95,7 @@
 	eventSendFailed.Log(x.server.options.Log, fields)
 }
 
-// end counts the call.
+// end records the metrics of the finished call.
 func (x *exchange) end(outcome string) {
 	name := ""
 	if x.route != nil {
@@ -108,7 +108,8 @@
 	x.server.options.Metrics.ended(name, outcome, first, time.Since(x.began))
 }
 
-// fields are those that every line about the end of a call has.
+// fields returns the fields common to all log lines about the end of a call, with more added to
+// them.
 func (x *exchange) fields(more event.Fields) event.Fields {
 	fields := event.Fields{"call": x.call.ID, "sends": x.sends, "total_ms": time.Since(x.began).Milliseconds(), "revision": x.revision}
 	if x.route != nil {
@@ -154,7 +155,7 @@
 	return fields
 }
 
-// namesOf lists the names of upstreams, of seventeen at most, in one field.
+// namesOf joins the names of upstreams, at most seventeen, in one field value.
 func namesOf(nodes []*node) string {
 	names := make([]string, len(nodes))
 	for i, n := range nodes {
--- a/forward/doc.go
+++ b/forward/doc.go
@@ -1,5 +1,5 @@
-// Package forward passes callers' calls on to upstreams without changing them,
-// by the routes of the settings. It decides where a call goes, what may be sent
-// again, and what the caller is told, and it knows no protocol but HTTP/1.1
-// framing: a Dialect translates the header fields.
+// Package forward forwards callers' calls unchanged to upstreams, by the routes of the settings.
+// It decides where a call is sent, whether it may be sent again and which answer the caller
+// gets. The only protocol that it implements is HTTP/1.1 framing: a Dialect translates the
+// header fields.
 package forward
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -15,7 +15,7 @@
 	"celeryport/verdict"
 )
 
-// exchange brings one call to its end.
+// exchange handles one call from its admission to its answer.
 type exchange struct {
 	server       *Server
 	writer       *callerWriter
@@ -29,48 +29,48 @@
 	priority     int
 	revision     uint64
 	deadline     time.Time
-	age          time.Duration   // of the call when it came, if the arbiter knows that it was refused before
-	tries        int             // plans so far; each has reservations of its own
-	lastAsk      string          // ID of the ask that got the call its last place
-	sends        int             // that may have reached an upstream
-	ended        int             // of these, sends to incarnations that had ended
+	age          time.Duration   // time since the first try of the call, if the arbiter knows that it was refused before
+	plans        int             // plans made so far; each names its own reservations
+	lastAsk      string          // ID of the ask that led to the last placement
+	sends        int             // sends that may have reached an upstream
+	misdirected  int             // of these, sends that reached an address after the incarnation there had ended
 	tried        []loadshare.Key // upstreams that failed the call
-	unusable     []loadshare.Key // that the arbiter named last and that may not be used
-	barred       []loadshare.Key // all of these, and engines that refused to help
+	unusable     []loadshare.Key // engines in the arbiter's last answer that must not be used
+	excluded     []loadshare.Key // all unusable and refused engines so far
 	refused      []loadshare.Key // engines that refused to help
-	leads        []loadshare.Key // engines that got the call
-	rejections   int             // sends that were rejected for want of a helper
+	sentTo       []loadshare.Key // engines that received the call as lead
+	rejections   int             // sends that were rejected because a helper refused its part
 	firstAt      time.Time
-	lastEvent    int64 // that the caller has
+	lastEvent    int64 // last event that the caller has received
 	hasEvent     bool
 	events       int
 	target       *node
-	predicted    time.Duration // of the first event, from the last send
+	predicted    time.Duration // predicted time from the last send to the first event
 	readers      int           // engines that read the prompt
 	seen         placement.Seen
-	longestPause time.Duration // between two events
-	pausedAt     time.Time     // when that pause began
-	eventAt      time.Time     // of the last event
-	helpers      []*node       // that read a part of the last send's prompt
-	placedAt     time.Time     // when the last send got its place
+	longestPause time.Duration // longest pause between two events
+	pausedAt     time.Time     // when the longest pause began
+	eventAt      time.Time     // time of the last event
+	helpers      []*node       // engines that read a part of the prompt of the last send
+	placedAt     time.Time     // when the last send was placed
 	ran          bool          // a send may have run
 }
 
-// sendsUnsent bounds the tries that met no upstream, for want of a connection or
-// because another incarnation answered: each costs up to a connect timeout.
-// Incarnations that had ended don't count as upstreams that a call was sent to: after
-// a crash of many engines calls would be given up at the second such one.
-const sendsUnsent = 4
+// maxUnsent bounds the tries that reached no upstream because no connection could be opened or
+// another incarnation answered; each takes up to a connect timeout. Incarnations that had
+// already ended don't count as upstreams that a call was sent to: otherwise, after a crash of
+// many engines, calls would fail at the second such engine.
+const maxUnsent = 4
 
-// mostRejections bounds the sends of one call that are rejected for want of a helper.
-// Each takes a round trip and names one engine that is not asked to help again.
-const mostRejections = 6
+// maxRejections bounds the sends of one call that are rejected because a helper refused its
+// part. Each takes a round trip and names one engine that is not asked to help again.
+const maxRejections = 6
 
-// noteRejection notes which engine got the call, and the helper for whose want it was
+// recordRejection records which engine received the call, and the helper because of which it was
 // rejected.
-func (x *exchange) noteRejection(w *work, o *outcome) {
-	if o.reached && !slices.Contains(x.leads, w.lead.key) {
-		x.leads = append(x.leads, w.lead.key)
+func (x *exchange) recordRejection(w *work, o *outcome) {
+	if o.reached && !slices.Contains(x.sentTo, w.lead.key) {
+		x.sentTo = append(x.sentTo, w.lead.key)
 	}
 	if o.helper == nil {
 		return
@@ -79,23 +79,23 @@
 		x.rejections++
 	}
 	x.refused = append(x.refused, o.helper.key)
-	x.barred = append(x.barred, o.helper.key)
+	x.excluded = append(x.excluded, o.helper.key)
 }
 
-// mayLead lists the engines that may lead the call: those that got it already once as
-// many did as its route allows. Empty: any.
-func (x *exchange) mayLead() []loadshare.Key {
-	if len(x.leads)-x.ended < x.route.MaxSends {
+// allowedLeads lists the engines that may lead the call: once the call was sent to as many
+// engines as its route allows, only these. Nil means any engine.
+func (x *exchange) allowedLeads() []loadshare.Key {
+	if len(x.sentTo)-x.misdirected < x.route.MaxSends {
 		return nil
 	}
-	return x.leads
+	return x.sentTo
 }
 
-// run answers the call. ctx ends when the caller leaves.
+// run handles the call until it is answered or abandoned. ctx ends when the caller leaves.
 func (x *exchange) run(ctx context.Context) {
 	x.awaitSettings(ctx)
 	if ctx.Err() != nil {
-		x.left()
+		x.callerLeft()
 		return
 	}
 	if err := x.admit(); err != nil {
@@ -106,22 +106,22 @@
 		x.refuse(errQuarantined())
 		return
 	}
-	x.server.budgets.call(x.began, x.service.Name)
+	x.server.budgets.recordCall(x.began, x.service.Name)
 	var last *outcome
 	unsent := 0
 	for {
 		next, err := x.place(ctx)
 		if ctx.Err() != nil && err != nil {
-			x.left()
+			x.callerLeft()
 			return
 		}
 		if err != nil {
-			x.giveUp(last, err)
+			x.abandon(last, err)
 			return
 		}
 		if x.quarantined() {
 			x.server.fleet.end(next)
-			x.giveUp(last, errQuarantined())
+			x.abandon(last, errQuarantined())
 			return
 		}
 		x.target, x.helpers, x.placedAt = next.lead, next.helpers, time.Now()
@@ -129,37 +129,37 @@
 		result := x.send(ctx, next)
 		result.kind = kind
 		if result.err == nil {
-			x.served()
+			x.recordServed()
 			return
 		}
 		if ctx.Err() != nil {
-			x.left()
+			x.callerLeft()
 			return
 		}
-		x.noteFailedSend(result)
-		x.awaitCheck(ctx, result)
-		x.noteRejection(next, result)
-		if !result.elsewhere {
+		x.recordFailedSend(result)
+		x.awaitEndCheck(ctx, result)
+		x.recordRejection(next, result)
+		if !result.otherAtFault {
 			x.tried = append(x.tried, next.lead.key)
 		}
 		if !result.reached {
 			unsent++
 		}
-		if errors.Is(result.err, errElsewhere) {
-			x.ended++
+		if errors.Is(result.err, errWrongIncarnation) {
+			x.misdirected++
 		}
 		last = result
 		if err := x.mayRepeat(result, unsent); err != nil {
-			x.giveUp(last, err)
+			x.abandon(last, err)
 			return
 		}
 	}
 }
 
-// awaitCheck has a call whose upstream had just begun to run it wait until it is known whether
-// the upstream ended: sent again before, a request that crashes its upstreams is always one
-// upstream ahead of the evidence against it.
-func (x *exchange) awaitCheck(ctx context.Context, o *outcome) {
+// awaitEndCheck waits until it is known whether the upstream ended, if the upstream had just
+// begun to run the call. If the call was sent again earlier, a request that crashes its
+// upstreams would always be one upstream ahead of the evidence against it.
+func (x *exchange) awaitEndCheck(ctx context.Context, o *outcome) {
 	if o.checked == nil {
 		return
 	}
@@ -172,42 +172,43 @@
 	}
 }
 
-// quarantined reports whether the call crashes the upstreams that run it.
+// quarantined reports whether the call's request is quarantined because it crashes the upstreams
+// that run it.
 func (x *exchange) quarantined() bool {
 	return x.server.fleet.suspects.rejects(time.Now(), x.fingerprint)
 }
 
-// settled reports whether this instance has settings to decide by.
-func (s *Server) settled() bool {
+// hasSettings reports whether this instance has received forwarding settings.
+func (s *Server) hasSettings() bool {
 	view := s.options.Plane.View()
 	return view != nil && view.Tree != nil && view.Tree.Forwarding != nil
 }
 
-// awaitSettings has a call wait for the first settings of a process that has just
-// started: they come with the first answer of a voter, a moment later. After a restart of
-// all processes all calls would else be refused until then.
+// awaitSettings waits for the first settings of a process that has just started. They arrive
+// with the first answer of a voter, a moment later; without the wait, all calls would be refused
+// during that time after a restart of all processes.
 func (x *exchange) awaitSettings(ctx context.Context) {
-	until := x.began.Add(settingsWait)
-	for !x.server.settled() && time.Now().Before(until) {
-		if !clock.Pause(ctx, settingsTick) {
+	until := x.began.Add(maxSettingsWait)
+	for !x.server.hasSettings() && time.Now().Before(until) {
+		if !clock.Pause(ctx, settingsPollInterval) {
 			return
 		}
 	}
 }
 
 const (
-	// settingsWait bounds the wait for the first settings: two and a half times as long
-	// as they take while voters are there.
-	settingsWait = 500 * time.Millisecond
-	// settingsTick is how often it is looked for them.
-	settingsTick = 10 * time.Millisecond
+	// maxSettingsWait bounds the wait for the first settings: two and a half times as long as
+	// they usually take while voters are available.
+	maxSettingsWait = 500 * time.Millisecond
+	// settingsPollInterval is how often the wait checks for settings.
+	settingsPollInterval = 10 * time.Millisecond
 )
 
-// admit finds the route and whose call it is.
+// admit determines the call's route, organisation, service and deadline, or returns a refusal.
 func (x *exchange) admit() error {
 	view := x.server.options.Plane.View()
-	if !x.server.settled() {
-		return verdict.Refuse(verdict.ReasonNoLease, unsettledRetry, "this instance has no settings yet")
+	if !x.server.hasSettings() {
+		return verdict.Refuse(verdict.ReasonNoLease, noSettingsRetry, "this instance has no settings yet")
 	}
 	tree := view.Tree
 	x.revision = tree.Revision
@@ -215,8 +216,8 @@
 	if x.route == nil {
 		return verdict.Refuse(verdict.ReasonNotFound, 0, "no route for this host and path")
 	}
-	if !x.server.takes(time.Now(), x.route.Stream) {
-		return verdict.Refuse(verdict.ReasonDraining, elsewhereRetry, "this instance stops and can't finish the call any more")
+	if !x.server.accepts(time.Now(), x.route.Stream) {
+		return verdict.Refuse(verdict.ReasonDraining, drainingRetry, "this instance stops and can't finish the call any more")
 	}
 	x.priority = x.route.Priority
 	if !x.route.Public && len(tree.Organisations) > 0 {
@@ -237,24 +238,25 @@
 	return nil
 }
 
-// unsettledRetry is when to come back to an instance that has just started: it
-// gets its settings with its first sync, within a few tenths of a second.
-const unsettledRetry = 300 * time.Millisecond
+// noSettingsRetry is the Retry-After of an instance that has just started: it gets its settings
+// with its first sync, within a few tenths of a second.
+const noSettingsRetry = 300 * time.Millisecond
 
-// elsewhereRetry is when a caller of an instance that stops may come to another
-// one: at once, but not in the same moment as all others.
-const elsewhereRetry = 50 * time.Millisecond
+// drainingRetry is the Retry-After of an instance that is stopping: callers may go to another
+// instance at once, but not all in the same moment.
+const drainingRetry = 50 * time.Millisecond
 
-// mayRepeat returns nil if another send may follow a failed one.
+// mayRepeat returns nil if another send may follow a failed one, and the error for the caller
+// otherwise.
 func (x *exchange) mayRepeat(o *outcome, unsent int) error {
 	if !x.repeatable(o) {
 		return x.failure(o)
 	}
-	if o.reached && x.sends-x.ended-x.rejections >= x.route.MaxSends || unsent+x.ended >= sendsUnsent || x.rejections >= mostRejections {
+	if o.reached && x.sends-x.misdirected-x.rejections >= x.route.MaxSends || unsent+x.misdirected >= maxUnsent || x.rejections >= maxRejections {
 		return x.failure(o)
 	}
 	now := time.Now()
-	if o.reached && !x.server.budgets.take(now, x.service.Name) {
+	if o.reached && !x.server.budgets.takeRepeat(now, x.service.Name) {
 		return x.failure(o)
 	}
 	if !now.Before(x.deadline) {
@@ -263,7 +265,7 @@
 	return nil
 }
 
-// repeatable reports whether a call may run again after what came of a send.
+// repeatable reports whether a call may be sent again after the outcome of a send.
 func (x *exchange) repeatable(o *outcome) bool {
 	if o.verdict == verdict.NotRun {
 		return true
@@ -272,13 +274,13 @@
 	case settings.Whole:
 		return !x.writer.begun
 	case settings.Rest:
-		return o.verdict != verdict.Ran || o.held == nil
+		return o.verdict != verdict.Ran || o.ownFailure == nil
 	default:
 		return false
 	}
 }
 
-// failure tells the caller what came of the last send.
+// failure returns the error for the caller after the last send.
 func (x *exchange) failure(o *outcome) error {
 	if o.verdict == verdict.NotRun && !x.mayHaveRun() {
 		return verdict.Wrap(o.err, verdict.NotRun, verdict.ReasonNoUpstream, "no upstream took the call").After(busyRetry)
@@ -289,8 +291,8 @@
 	return verdict.Wrap(o.err, verdict.MayHaveRun, verdict.ReasonUpstream, "the upstream failed")
 }
 
-// busyRetry is when to come back after upstreams rejected a call. Their
-// queues turn over within about this time.
+// busyRetry is the Retry-After when upstreams rejected a call: their queues turn over within
+// about this time.
 const busyRetry = 150 * time.Millisecond
 
 // mayHaveRun reports whether any send of this call may have run.
--- a/forward/fleet.go
+++ b/forward/fleet.go
@@ -11,89 +11,88 @@
 	"celeryport/upstream"
 )
 
-// fleet is what this instance knows of the upstreams from its own sends.
+// fleet holds what this instance knows about the upstreams and the loads of all instances there.
 type fleet struct {
-	options   *Options
-	mu        sync.Mutex
-	nodes     map[start]*node
-	occupants map[string]*node // who has an address: the node that was announced there last
-	swept     time.Time
-	peers     map[netip.AddrPort]time.Time // when instances of the own zone were heard last
-	began     time.Time                    // of this instance; silence before it says nothing
-	board     *loadshare.Board             // of the other instances of the own availability zone
-	zones     *loadshare.Zones             // of the other zones
-	news      chan struct{}                // the loads have changed
-	zoneNews  chan struct{}                // the loads of the own zone have changed
-	random    *rand.Rand
-	suspects  *suspects
-	rates     *rates
+	options          *Options
+	mu               sync.Mutex
+	nodes            map[incarnationID]*node
+	byAddress        map[string]*node // by address: the node that was announced there last
+	sweptAt          time.Time
+	peers            map[netip.AddrPort]time.Time // when the last report of each instance of the own zone arrived
+	startedAt        time.Time                    // start of this instance; earlier silence of an upstream is not significant
+	board            *loadshare.Board             // loads of the other instances of the own availability zone
+	zones            *loadshare.Zones             // loads of the other zones
+	loadsChanged     chan struct{}                // signals that the own loads have changed
+	zoneLoadsChanged chan struct{}                // signals that the loads of the own zone have changed
+	random           *rand.Rand
+	suspects         *suspects
+	rates            *rates
 }
 
-// sweepInterval is how often connections and nodes that are not needed any more
-// are dropped.
+// sweepInterval is how often unneeded connections and nodes are removed.
 const sweepInterval = time.Second
 
-// newFleet returns an empty fleet. arrival tells how many calls a second come here for a
-// service.
-func newFleet(options *Options, arrival func(now time.Time, service string) float64) *fleet {
+// newFleet returns an empty fleet. callRate returns the recent rate of calls per second at this
+// instance for a service.
+func newFleet(options *Options, callRate func(now time.Time, service string) float64) *fleet {
 	if options.Dial == nil {
 		dialer := &net.Dialer{KeepAliveConfig: upstreamKeepAlive}
 		options.Dial = dialer.DialContext
 	}
 	random := rand.New(rand.NewPCG(options.Random.Uint64(), options.Random.Uint64()))
 	return &fleet{
-		options:   options,
-		nodes:     map[start]*node{},
-		occupants: map[string]*node{},
-		board:     loadshare.NewBoard(),
-		zones:     loadshare.NewZones(loadshare.KeyOf(options.Process.AvailabilityZone)),
-		peers:     map[netip.AddrPort]time.Time{},
-		news:      make(chan struct{}, 1),
-		zoneNews:  make(chan struct{}, 1),
-		random:    random,
-		suspects:  newSuspects(options),
-		rates:     newRates(arrival),
-		began:     time.Now(),
+		options:          options,
+		nodes:            map[incarnationID]*node{},
+		byAddress:        map[string]*node{},
+		board:            loadshare.NewBoard(),
+		zones:            loadshare.NewZones(loadshare.KeyOf(options.Process.AvailabilityZone)),
+		peers:            map[netip.AddrPort]time.Time{},
+		loadsChanged:     make(chan struct{}, 1),
+		zoneLoadsChanged: make(chan struct{}, 1),
+		random:           random,
+		suspects:         newSuspects(options),
+		rates:            newRates(callRate),
+		startedAt:        time.Now(),
 	}
 }
 
-// upstreamKeepAlive finds connections that went silent for good: an idle one is
-// given up after about two seconds without an answer to the kernel's probes.
+// upstreamKeepAlive detects connections whose peer is gone: an idle one is closed after about
+// two seconds without an answer to the kernel's probes.
 var upstreamKeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 1}
 
-// node returns the state of an incarnation. The lock must be held.
+// node returns the node of an upstream's incarnation and creates it if needed. The lock must be
+// held.
 func (f *fleet) node(u *upstream.Upstream) *node {
 	a := &u.Announcement
-	id := startOf(a)
+	id := incarnationOf(a)
 	n := f.nodes[id]
 	if n == nil {
-		n = &node{start: id, address: a.Address, zone: a.AvailabilityZone, key: id.loadKey(), announced: u.HeardAt}
+		n = &node{incarnationID: id, address: a.Address, zone: a.AvailabilityZone, key: id.loadKey(), announced: u.HeardAt}
 		if len(a.Targets) > 0 {
 			n.service = a.Targets[0]
 		}
-		f.retireBefore(id)
+		f.retireEarlier(id)
 		f.nodes[id] = n
-		if before := f.occupants[n.address]; before == nil || !n.announced.Before(before.announced) {
-			f.occupants[n.address] = n
+		if before := f.byAddress[n.address]; before == nil || !n.announced.Before(before.announced) {
+			f.byAddress[n.address] = n
 		}
 	}
 	return n
 }
 
-// mayWork reports whether a node may get work. Of several at one address only the one
-// that was announced there last is there: an engine that was started anew at the address
-// of a dead one does not answer for it, and rejects a prompt that lists its address twice.
-// The lock must be held.
-func (f *fleet) mayWork(n *node, a *upstream.Announcement) bool {
-	return !n.replaced && !a.Leaving && n.leavingAt.IsZero() && f.occupants[n.address] == n
+// eligible reports whether a node may get work. Of several nodes at one address only the one
+// announced last is eligible: an engine that was started at the address of a dead one does not
+// answer its calls, and rejects a prompt that lists the address twice. The lock must be held.
+func (f *fleet) eligible(n *node, a *upstream.Announcement) bool {
+	return !n.replaced && !a.Leaving && n.leavingAt.IsZero() && f.byAddress[n.address] == n
 }
 
-// retireBefore ends what is under way at the former starts of an upstream that has
-// started again. It holds nothing of before, but an engine that crashed behind a cut
-// sends no reset: without this a stream would wait for its patience, 0.6 s or more,
-// before it goes on elsewhere. A start that is not stated may be this one, and is
-// left alone. The lock must be held.
-func (f *fleet) retireBefore(id start) {
+// retireEarlier retires the earlier incarnations of an upstream that has restarted. The new
+// process has none of their calls, but if the engine crashed behind a network failure, no reset
+// arrives: the streams would wait for the silence time-out, 0.6 s or more, before they are
+// resumed elsewhere. An unstated incarnation may be the current one and is not retired. The lock
+// must be held.
+func (f *fleet) retireEarlier(id incarnationID) {
 	for former, n := range f.nodes {
 		if former.name != id.name || former.incarnation >= id.incarnation || former.incarnation <= upstream.Unstated {
 			continue
@@ -102,7 +101,7 @@
 	}
 }
 
-// retire takes a node out of use and breaks its connections. The lock must be held.
+// retire marks a node as replaced and closes its connections. The lock must be held.
 func (f *fleet) retire(n *node) {
 	n.replaced = true
 	for c := range n.busy {
@@ -114,27 +113,27 @@
 	n.idle = nil
 }
 
-// inUse returns the nodes of a service that may get work, by the keys under which
-// loads are reported. The lock must be held.
+// inUse returns the nodes of a service that are eligible for work, by the keys under which loads
+// are reported. The lock must be held.
 func (f *fleet) inUse(snapshot *upstream.Snapshot, service string) map[loadshare.Key]*node {
-	workers, _ := f.workers(snapshot, service)
-	nodes := make(map[loadshare.Key]*node, len(workers))
-	for _, n := range workers {
+	eligibleNodes, _ := f.eligibleNodes(snapshot, service)
+	nodes := make(map[loadshare.Key]*node, len(eligibleNodes))
+	for _, n := range eligibleNodes {
 		nodes[n.key] = n
 	}
 	return nodes
 }
 
-// sweep drops idle connections that are too old, and nodes that are not listed
-// any more. The lock must be held.
+// sweep closes idle connections that are too old and removes nodes that are no longer listed.
+// The lock must be held.
 func (f *fleet) sweep(now time.Time, snapshot *upstream.Snapshot) {
-	if now.Sub(f.swept) < sweepInterval {
+	if now.Sub(f.sweptAt) < sweepInterval {
 		return
 	}
-	f.swept = now
-	listed := make(map[start]bool, len(snapshot.Upstreams))
+	f.sweptAt = now
+	listed := make(map[incarnationID]bool, len(snapshot.Upstreams))
 	for i := range snapshot.Upstreams {
-		listed[startOf(&snapshot.Upstreams[i].Announcement)] = true
+		listed[incarnationOf(&snapshot.Upstreams[i].Announcement)] = true
 	}
 	for id, n := range f.nodes {
 		kept := n.idle[:0]
@@ -147,37 +146,36 @@
 		}
 		clear(n.idle[len(kept):])
 		n.idle = kept
-		if !listed[id] && n.load == (loadshare.Load{}) && len(n.reading) == 0 && !n.remembered(now) {
+		if !listed[id] && n.load == (loadshare.Load{}) && len(n.reading) == 0 && !n.mustRetain(now) {
 			delete(f.nodes, id)
 			delete(f.rates.buckets, n.key)
-			if f.occupants[n.address] == n {
-				delete(f.occupants, n.address)
+			if f.byAddress[n.address] == n {
+				delete(f.byAddress, n.address)
 			}
 		}
 	}
 }
 
-// changed has the loads reported to the other instances.
-func (f *fleet) changed() {
-	wake(f.news)
-	wake(f.zoneNews)
+// notifyChanged triggers the reports of the loads to the other instances.
+func (f *fleet) notifyChanged() {
+	wake(f.loadsChanged)
+	wake(f.zoneLoadsChanged)
 }
 
-// wake tells whoever waits that there is news.
-func wake(news chan<- struct{}) {
+// wake signals a channel without blocking; a signal that is already pending covers this one.
+func wake(signal chan<- struct{}) {
 	select {
-	case news <- struct{}{}:
+	case signal <- struct{}{}:
 	default:
 	}
 }
 
-// loadOf returns what all instances have under way at a node. The lock must be
-// held.
+// loadOf returns the load of all instances on a node. The lock must be held.
 func (f *fleet) loadOf(now time.Time, n *node) loadshare.Load {
-	load := n.own(now).Add(f.board.Load(now, n.key)).Add(f.zones.Load(now, n.key))
+	load := n.ownLoad(now).Add(f.board.Load(now, n.key)).Add(f.zones.Load(now, n.key))
 	kept := n.granted[:0]
 	for _, g := range n.granted {
-		if left, counts := g.loadAt(now); counts {
+		if left, counts := g.remainingLoad(now); counts {
 			kept = append(kept, g)
 			load = load.Add(left)
 		}
@@ -186,21 +184,21 @@
 	return load
 }
 
-// ownLoads returns what this instance has under way.
+// ownLoads returns the loads caused by this instance.
 func (f *fleet) ownLoads(now time.Time) map[loadshare.Key]loadshare.Load {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	loads := map[loadshare.Key]loadshare.Load{}
 	for _, n := range f.nodes {
-		if load := n.own(now); load != (loadshare.Load{}) {
+		if load := n.ownLoad(now); load != (loadshare.Load{}) {
 			loads[n.key] = load
 		}
 	}
 	return loads
 }
 
-// heard takes in what another instance of the own zone, or another zone, has under way.
-func (f *fleet) heard(now time.Time, from netip.AddrPort, r *loadshare.Report) {
+// applyReport applies a load report of another instance of the own zone or of another zone.
+func (f *fleet) applyReport(now time.Time, from netip.AddrPort, r *loadshare.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if r.Zone != 0 {
@@ -209,11 +207,11 @@
 	}
 	f.peers[from] = now
 	if f.board.Take(now, r) && len(r.Loads) > 0 {
-		wake(f.zoneNews)
+		wake(f.zoneLoadsChanged)
 	}
 }
 
-// zoneLoads returns what all instances of the own zone have under way.
+// zoneLoads returns the loads caused by all instances of the own zone.
 func (f *fleet) zoneLoads(now time.Time) map[loadshare.Key]loadshare.Load {
 	total := f.ownLoads(now)
 	f.mu.Lock()
--- a/forward/fleet_conns.go
+++ b/forward/fleet_conns.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// connect returns a connection to the node: an idle one that is sound, or a new
-// one. fresh asks for a new one. An error means that nothing was sent.
+// connect returns a connection to the node: a usable idle one, or a new one. fresh requires a
+// new one. An error means that nothing was sent.
 func (f *fleet) connect(ctx context.Context, n *node, fresh bool) (*upstreamConn, error) {
 	if c := f.takeIdle(n); c != nil {
 		if !fresh {
@@ -25,9 +25,9 @@
 	return newUpstreamConn(conn), nil
 }
 
-// connectTimeout bounds a new connection to an upstream. Between availability
-// zones it takes a few milliseconds; one whose first packet was lost would take a
-// second, which is longer than another upstream needs for the whole call.
+// connectTimeout bounds opening a connection to an upstream. Between availability zones it takes
+// a few milliseconds; if the first packet is lost, it would take a second, which is longer than
+// another upstream needs for the whole call.
 const connectTimeout = 300 * time.Millisecond
 
 func (f *fleet) takeIdle(n *node) *upstreamConn {
@@ -44,13 +44,13 @@
 	return nil
 }
 
-// keep takes back a connection after a whole answer.
+// keep returns a connection to the idle connections after a complete answer.
 func (f *fleet) keep(n *node, c *upstreamConn, idleFor time.Duration) {
 	c.idleAt = time.Now()
 	if idleFor > 0 {
 		c.idleFor = idleFor
 	}
-	c.patient.there = nil
+	c.liveness.reachable = nil
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if n.replaced {
@@ -60,8 +60,8 @@
 	n.idle = append(n.idle, c)
 }
 
-// occupy notes that a call is on a connection, and vacate that it has ended. A call
-// at a node that has been replaced meanwhile finds its connection closed.
+// occupy registers a connection that carries a call, and vacate removes it. If the node has been
+// replaced in the meantime, the connection is closed.
 func (f *fleet) occupy(n *node, c *upstreamConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/forward/fleet_health.go
+++ b/forward/fleet_health.go
@@ -9,26 +9,26 @@
 	"celeryport/loadshare"
 )
 
-// refusedHelp notes that a node did not help with a prompt. It may be gone, or help as
-// many others as it can: it gets no work until a new connection tells which. Taken for a
-// failure each time, busy helpers were passed over for seconds, until too few engines were
-// left to read the prompts.
-func (f *fleet) refusedHelp(n *node) {
-	asked := time.Now()
+// recordHelpRefusal records that a node did not help with a prompt. The node may be gone, or
+// already help as many other engines as it can: it gets no work until a new connection shows
+// which. If each refusal counted as a failure, busy helpers would be avoided for seconds, until
+// too few engines were left to read the prompts.
+func (f *fleet) recordHelpRefusal(n *node) {
+	refusedAt := time.Now()
 	f.mu.Lock()
-	n.suspicion.pass(asked.Add(connectTimeout))
+	n.suspicion.pauseUntil(refusedAt.Add(connectTimeout))
 	f.mu.Unlock()
 	go func() {
-		if f.there(context.Background(), n) {
+		if f.reachable(context.Background(), n) {
 			f.mu.Lock()
-			n.suspicion.pass(asked.Add(passPause))
+			n.suspicion.pauseUntil(refusedAt.Add(helpRefusalPause))
 			f.mu.Unlock()
 		}
 	}()
 }
 
-// refusedHelpElsewhere notes nodes that refused to help with a call of another instance.
-func (f *fleet) refusedHelpElsewhere(keys []loadshare.Key) {
+// applyHelpRefusals records nodes that refused to help with a call of another instance.
+func (f *fleet) applyHelpRefusals(keys []loadshare.Key) {
 	f.mu.Lock()
 	var found []*node
 	for _, n := range f.nodes {
@@ -38,13 +38,13 @@
 	}
 	f.mu.Unlock()
 	for _, n := range found {
-		f.refusedHelp(n)
+		f.recordHelpRefusal(n)
 	}
 }
 
-// there finds out whether an upstream that sends nothing still takes
-// connections. The new connection is kept for the next call.
-func (f *fleet) there(ctx context.Context, n *node) bool {
+// reachable reports whether an upstream that sends no data still accepts connections. The new
+// connection is kept for the next call.
+func (f *fleet) reachable(ctx context.Context, n *node) bool {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	conn, err := f.options.Dial(ctx, "tcp", n.address)
@@ -56,7 +56,7 @@
 	return true
 }
 
-// suspect keeps new work from a node for a while.
+// suspect records a failure to reach a node, which keeps new work from it for a while.
 func (f *fleet) suspect(n *node, cause error) {
 	now := time.Now()
 	f.mu.Lock()
@@ -71,8 +71,8 @@
 	})
 }
 
-// answered notes that a node works.
-func (f *fleet) answered(n *node) {
+// recordAnswer records that a node answered a call successfully.
+func (f *fleet) recordAnswer(n *node) {
 	f.mu.Lock()
 	n.answered, n.failedAt = time.Now(), time.Time{}
 	cleared := n.suspicion.clear()
@@ -82,17 +82,17 @@
 	}
 }
 
-// failing notes that a node was reached and failed a call by its own.
-func (f *fleet) failing(n *node) {
+// recordFailure records that a node was reached and failed a call itself.
+func (f *fleet) recordFailure(n *node) {
 	f.mu.Lock()
 	n.failedAt = time.Now()
 	f.mu.Unlock()
-	f.changed()
+	f.notifyChanged()
 }
 
-// misdirected notes that another incarnation answers at the node's address. What is
-// under way at the node has ended with it.
-func (f *fleet) misdirected(n *node) {
+// recordReplaced records that another incarnation answers at the node's address, and closes the
+// connections of the calls in flight at the node, which ended with it.
+func (f *fleet) recordReplaced(n *node) {
 	f.mu.Lock()
 	f.retire(n)
 	f.mu.Unlock()
--- a/forward/grant_test.go
+++ b/forward/grant_test.go
@@ -12,7 +12,7 @@
 	"celeryport/settings"
 )
 
-// placeFor asks an arbiter for an instance whose reports of loads don't arrive.
+// placeFor has the arbiter place an ask of an instance whose load reports do not arrive.
 func placeFor(t *testing.T, s *Server, ask *arbiter.Ask) *arbiter.Answer {
 	t.Helper()
 	s.arbitration.mu.Lock()
@@ -25,8 +25,8 @@
 	return answers[0]
 }
 
-// Guards against giving engines away twice while the loads of an availability zone are not
-// reported, because the instance that sends them on was killed.
+// Guards against assigning engines twice while the load reports of an availability zone are
+// missing because the instance that relays them was killed.
 func TestEnginesAreNotGivenAwayTwiceWhileReportsAreMissing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, "front-1", "front-1")
@@ -38,31 +38,31 @@
 		again := placeFor(t, s, second)
 		busy := append(slices.Clone(given.Helpers), given.Lead)
 		if slices.Contains(busy, again.Lead) {
-			t.Errorf("engine %d reads for %s of which 100 ms have passed, and gets a second prompt", again.Lead, given.Part)
+			t.Errorf("engine %d gets a second prompt 100 ms into a reading of %s", again.Lead, given.Part)
 		}
 	})
 }
 
-// Guards against engines that stand idle for a prompt that they refused to read.
-func TestPlaceThatCameToNothingIsFreeAgain(t *testing.T) {
+// Guards against engines that stay reserved for a prompt that a helper refused to read.
+func TestAbandonedGrantIsRevoked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, "front-1", "front-1")
 		given := placeFor(t, s, longAsk())
 		next := longAsk()
 		next.ID, next.Before, next.Tried = "front-1/call/1", "front-1/call/0", []loadshare.Key{given.Helpers[0]}
-		s.takeOutcome(&net.UDPAddr{}, next)
+		s.applyAskOutcome(&net.UDPAddr{}, next)
 		s.fleet.mu.Lock()
 		defer s.fleet.mu.Unlock()
 		for _, n := range s.fleet.nodes {
 			if left := s.fleet.loadOf(time.Now(), n); left != (loadshare.Load{}) {
-				t.Errorf("%s is loaded with %+v", n.name, left)
+				t.Errorf("%s still has the load %+v", n.name, left)
 			}
 		}
 	})
 }
 
-// Guards against giving up a stream that broke off, since its first event is long past its
-// objective: what is due is its next event.
+// Guards against abandoning an interrupted stream because its first event is long past its
+// objective: once the stream has begun, the limit applies to its next event.
 func TestBegunStreamIsPlacedByItsNextEvent(t *testing.T) {
 	s := newTestServer(t, "front-1", "front-1")
 	now := time.Now()
@@ -72,10 +72,10 @@
 		service: &s.options.Plane.View().Tree.Forwarding.Services[0],
 	}
 	if ask := x.newAsk(); ask.Objective != 4*time.Second || ask.Waited < 5*time.Second || ask.PromptID != 7 {
-		t.Errorf("before its first event %+v", ask)
+		t.Errorf("ask before the first event: %+v", ask)
 	}
 	x.firstAt, x.eventAt, x.events = now.Add(-2*time.Second), now, 3
 	if ask := x.newAsk(); ask.Objective != time.Second || ask.Waited > time.Second/2 || ask.PromptID != 0 {
-		t.Errorf("after an event %+v", ask)
+		t.Errorf("ask after an event: %+v", ask)
 	}
 }
--- a/forward/health.go
+++ b/forward/health.go
@@ -6,40 +6,40 @@
 	"celeryport/loadshare"
 )
 
-// health is what speaks for and against sending work to a node.
+// health is the evidence for and against sending work to a node.
 type health struct {
-	failed     bool // a call or a poll from here failed of late
-	busy       bool // it turned a part of a prompt away a moment ago
-	suspicions int  // instances that failed to reach it of late, this one included
-	answered   bool // it answered a call from here just now
-	reported   bool // it answered the poll of an instance just now
-	silent     bool // its announcements ceased to come
-	failing    int  // instances whose last call there failed of late
+	failed     bool // a call or poll of this instance failed recently
+	busy       bool // the node is paused, for example after it refused a part of a prompt
+	suspicions int  // number of instances that recently failed to reach it, including this one
+	answered   bool // it recently answered a call of this instance
+	reported   bool // it recently answered the poll of any instance
+	silent     bool // its announcements have stopped
+	failing    int  // number of instances whose last call to it recently failed
 	pace       int  // as in loadshare.Load
 }
 
 const (
-	// answerKept is how long an answer to a call from here speaks for a node: as long as
-	// an engine takes to be polled again.
-	answerKept = time.Second
-	// suspicionsEnough is how many instances have to fail before one believes them that
-	// has not tried itself. One alone may be cut off from the node.
-	suspicionsEnough = 2
-	// failureKept is how long a failed call of an engine is remembered. An engine that
-	// fails its calls is never busy and draws them.
-	failureKept = 2 * time.Second
-	// slowPace is the pace from which on a node is too slow. A prompt is read in even
-	// parts, so that the slowest engine decides when it is read.
+	// answerRetention is how long an answered call counts as evidence that a node works: until
+	// the engine is polled again.
+	answerRetention = time.Second
+	// suspicionQuorum is how many instances have to report failures before an instance that has
+	// not tried the node itself avoids it. A single one may be cut off from the node.
+	suspicionQuorum = 2
+	// failureRetention is how long a failed call of an engine counts. An engine that fails its
+	// calls is never busy and would therefore attract more of them.
+	failureRetention = 2 * time.Second
+	// slowPace is the pace from which a node is too slow. A prompt is split into equal parts, so
+	// that the slowest engine determines when it is read.
 	slowPace = 15
 )
 
-// health sums up what is known of a node. The lock must be held.
+// health collects the evidence about a node. The lock must be held.
 func (n *node) health(now time.Time, load loadshare.Load, silent bool) health {
 	return health{
-		failed:     n.suspicion.holds(now),
-		busy:       n.suspicion.passes(now),
+		failed:     n.suspicion.active(now),
+		busy:       n.suspicion.paused(now),
 		suspicions: load.Suspicions,
-		answered:   now.Sub(n.answered) < answerKept,
+		answered:   now.Sub(n.answered) < answerRetention,
 		reported:   load.Pace > 0,
 		silent:     silent,
 		failing:    load.Failing,
@@ -47,23 +47,23 @@
 	}
 }
 
-// avoid reports whether the node gets work only if there is no other.
+// avoid reports whether the node should get work only if there is no other.
 //
-// Announcements alone say too little: they stop when the control group is cut in
-// two, and engines got no work for as long as that lasts, while long prompts are turned
-// away. And what one instance finds out on its own, all others find out again, each by
-// calls that wait for a dark engine.
+// Announcements alone are not sufficient evidence: they stop while the control group is
+// partitioned, and engines would get no work for that time while long prompts are refused.
+// Failures seen by a single instance are not sufficient either: every other instance would have
+// to discover them again with calls that wait for a dead engine, so failures are shared.
 func (s health) avoid() bool {
 	switch {
 	case s.failed || s.busy || s.pace >= slowPace:
 		return true
 	case s.answered:
 		return false
-	case s.failing >= suspicionsEnough:
+	case s.failing >= suspicionQuorum:
 		return true
 	case s.reported:
 		return false
 	default:
-		return s.silent || s.suspicions >= suspicionsEnough
+		return s.silent || s.suspicions >= suspicionQuorum
 	}
 }
--- a/forward/metrics.go
+++ b/forward/metrics.go
@@ -22,8 +22,8 @@
 	unreadable  *prometheus.CounterVec
 }
 
-// latencyBuckets reach from a plain call of some milliseconds to the longest
-// time limit of a prompt.
+// latencyBuckets range from a plain call of some milliseconds to the longest time limit of a
+// prompt.
 var latencyBuckets = []float64{.01, .025, .05, .1, .2, .3, .5, 1, 1.5, 2.5, 4, 6, 10, 15}
 
 // NewMetrics registers the metrics.
@@ -79,13 +79,13 @@
 	}
 }
 
-func (m *Metrics) askedForRest(service string) { m.rests.WithLabelValues(service).Inc() }
+func (m *Metrics) restAsked(service string) { m.rests.WithLabelValues(service).Inc() }
 
-func (m *Metrics) withdrew(service string, kind sendKind) {
+func (m *Metrics) sendWithdrawn(service string, kind sendKind) {
 	m.withdrawn.WithLabelValues(service, kind.String()).Inc()
 }
 
-func (m *Metrics) brokeOff(service string, p phase) {
+func (m *Metrics) sendBroken(service string, p phase) {
 	m.broken.WithLabelValues(service, p.String()).Inc()
 }
 
--- a/forward/node.go
+++ b/forward/node.go
@@ -9,67 +9,69 @@
 	"celeryport/upstream"
 )
 
-// start names one incarnation of an upstream. An upstream may start again under the
-// name that it had; what was known of its former start says nothing of the new one.
-type start struct {
+// incarnationID identifies one incarnation of an upstream. An upstream may restart under the
+// same name; what was known of an earlier incarnation does not apply to the new one.
+type incarnationID struct {
 	name        string
 	incarnation uint64
 }
 
-func startOf(a *upstream.Announcement) start { return start{name: a.Name, incarnation: a.Incarnation} }
+func incarnationOf(a *upstream.Announcement) incarnationID {
+	return incarnationID{name: a.Name, incarnation: a.Incarnation}
+}
 
-// key returns the key under which the loads of the start are reported.
-func (s start) loadKey() loadshare.Key {
+// loadKey returns the key under which the loads of the incarnation are reported.
+func (s incarnationID) loadKey() loadshare.Key {
 	return loadshare.KeyOf(fmt.Sprintf("%s/%d", s.name, s.incarnation))
 }
 
-// node is one incarnation of an upstream.
+// node is the state of one incarnation of an upstream.
 type node struct {
-	start
-	address   string
-	zone      string
-	service   string
-	key       loadshare.Key
-	announced time.Time // when it was heard of last before it became known here
-	idle      []*upstreamConn
-	busy      map[*upstreamConn]struct{} // connections with a call on them
-	load      loadshare.Load             // under way from here, but for the reading
-	reading   map[*work]time.Time        // until when it reads parts of prompts sent from here
-	replaced  bool                       // another incarnation answers at the address
-	suspicion suspicion
-	answered  time.Time // last good answer to a call from here
-	failedAt  time.Time // last failure of its own on a call from here, zero after a good answer
-	report    nodeReport
-	granted   []grant
-	broken    []brokenSend  // sends that broke off, until it is checked whether the node has ended
-	checked   chan struct{} // closed when that is known
-	rest      throttle.Rest // that it asked this instance for
-	trial     *work         // that finds out whether it accepts requests after its rest, nil if none does
-	leavingAt time.Time     // when it first said in an answer that it leaves, zero if it did not
-	unreadAt  time.Time     // when a statement that can't be read was logged last
+	incarnationID
+	address            string
+	zone               string
+	service            string
+	key                loadshare.Key
+	announced          time.Time // time of its last announcement when the node was created
+	idle               []*upstreamConn
+	busy               map[*upstreamConn]struct{} // connections with a call on them
+	load               loadshare.Load             // load caused by this instance except for reading
+	reading            map[*work]time.Time        // until when it reads parts of prompts sent by this instance
+	replaced           bool                       // another incarnation answers at the address
+	suspicion          suspicion
+	answered           time.Time // last successful answer to a call of this instance
+	failedAt           time.Time // last call of this instance that it failed itself, zero after a successful answer
+	report             nodeReport
+	granted            []grant
+	broken             []brokenSend  // broken sends not yet checked for the end of the node
+	checked            chan struct{} // closed when that check is finished
+	rest               throttle.Rest // rest period that it asked this instance for
+	probe              *work         // send that probes whether it accepts requests after its rest period, or nil
+	leavingAt          time.Time     // when an answer first stated that it leaves, zero if none did
+	unparsableLoggedAt time.Time     // when an unparsable statement was last logged
 }
 
-// nodeReport is what a node said when this instance polled it.
+// nodeReport is the result of this instance's polls of a node.
 type nodeReport struct {
-	polledAt time.Time
-	heardAt  time.Time // zero: it did not answer
-	lostAt   time.Time // when it did not answer, zero: it always did
-	pace     int       // as in loadshare.Load
+	polledAt   time.Time
+	answeredAt time.Time // time of the last answer; zero if the last poll failed
+	failedAt   time.Time // time of the last failed poll; zero if none failed
+	pace       int       // as in loadshare.Load
 }
 
-// own returns what this instance has under way at the node.
-func (n *node) own(now time.Time) loadshare.Load {
+// own returns the load caused by this instance on the node.
+func (n *node) ownLoad(now time.Time) loadshare.Load {
 	load := n.load
 	for _, end := range n.reading {
 		load.Reading = max(load.Reading, end.Sub(now))
 	}
-	if n.suspicion.holds(now) {
+	if n.suspicion.active(now) {
 		load.Suspicions = 1
 	}
-	if now.Sub(n.failedAt) < failureKept || n.replaced || n.unwilling(now) != nil {
+	if now.Sub(n.failedAt) < failureRetention || n.replaced || n.unavailable(now) != nil {
 		load.Failing = 1
 	}
-	if now.Sub(n.report.heardAt) < reportKept {
+	if now.Sub(n.report.answeredAt) < reportRetention {
 		load.Pace = n.report.pace
 	}
 	return load
--- a/forward/options.go
+++ b/forward/options.go
@@ -13,19 +13,18 @@
 	"celeryport/settings"
 )
 
-// Plane is what the forwarder sees of control.
+// Plane is the control plane as used by the forwarder.
 type Plane interface {
-	// View returns the present view without blocking.
+	// View returns the current view without blocking.
 	View() *control.View
-	// ReportEvidence hands in what this instance saw of a request whose upstream ended. It
-	// does not wait.
+	// ReportEvidence submits evidence about a request whose upstream ended. It does not block.
 	ReportEvidence(e quarantine.Evidence)
 }
 
-// Dial opens a connection to an upstream; tests replace it.
+// Dial opens a connection to an upstream. Tests replace it.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Options configure a Server. All but Dial and Random must be set.
+// Options configures a Server. All fields except Dial and Random must be set.
 type Options struct {
 	Process *settings.Process
 	Plane   Plane
@@ -33,19 +32,18 @@
 	Metrics *Metrics
 	Log     logrus.FieldLogger
 	Dial    Dial       // nil: TCP
-	Random  *rand.Rand // nil: seeded from the machine
+	Random  *rand.Rand // nil: randomly seeded
 	Budget  RepeatBudget
 }
 
-// RepeatBudget bounds the sends beyond the first of each call, over all
-// instances together.
+// RepeatBudget limits the sends beyond the first of each call, over all instances together.
 type RepeatBudget struct {
-	Ratio  float64       // of the calls for a service
+	Ratio  float64       // repeats per call of a service
 	Slack  float64       // repeats beyond the ratio, over all instances
-	Window time.Duration // any span of this length counts
+	Window time.Duration // length of the sliding window
 }
 
-// The limits that hold until settings give others.
+// Defaults for limits that the settings leave out.
 const (
 	defaultHeaderBytes   = 16 << 10
 	defaultBodyBytes     = 4 << 20
@@ -53,8 +51,7 @@
 	defaultIdleTimeout   = 15 * time.Second
 )
 
-// callerLimits returns the limits of the settings, with defaults for what they
-// leave out.
+// callerLimits returns the limits of the settings, with defaults for those that are not set.
 func callerLimits(view *control.View) settings.CallerLimits {
 	var limits settings.CallerLimits
 	if view != nil && view.Tree != nil && view.Tree.Forwarding != nil {
--- a/forward/phase.go
+++ b/forward/phase.go
@@ -1,18 +1,19 @@
 package forward
 
-// phase is how far a send has come, as far as its connection shows.
+// phase is the progress of a send as visible on its connection.
 type phase uint8
 
 const (
-	// phaseUnanswered: nothing of the answer has come; the call may wait or run.
+	// phaseUnanswered means that no part of the answer has arrived; the call may be queued or
+	// running.
 	phaseUnanswered phase = iota
-	// phaseStarted: the head of the answer has come, and nothing of its body.
+	// phaseStarted means that the head of the answer has arrived, but nothing of its body.
 	phaseStarted
-	// phaseAnswering: a part of the answer has come.
+	// phaseAnswering means that a part of the body has arrived.
 	phaseAnswering
 )
 
-// String returns the form of logs and metrics.
+// String returns the name used in logs and metrics.
 func (p phase) String() string {
 	switch p {
 	case phaseUnanswered:
--- a/forward/place.go
+++ b/forward/place.go
@@ -13,8 +13,8 @@
 	"celeryport/verdict"
 )
 
-// place chooses where the next send goes and notes it as under way, or refuses the
-// call. A prompt may have to wait until engines are free.
+// place chooses the upstreams for the next send and registers the send as in flight, or refuses
+// the call. A prompt may have to wait until engines are free.
 func (x *exchange) place(ctx context.Context) (*work, error) {
 	if x.isLong() {
 		if w, err, decided := x.placeLong(ctx); decided {
@@ -26,7 +26,7 @@
 		if wait == 0 {
 			return w, err
 		}
-		if !clock.Pause(ctx, min(wait, longestWait)) {
+		if !clock.Pause(ctx, min(wait, maxReplanWait)) {
 			return nil, ctx.Err()
 		}
 	}
@@ -36,26 +36,27 @@
 	return x.service.Engine != nil && placement.Long(x.service.Engine, x.call.PromptTokens)
 }
 
-// asksAnew is how often the arbiter is asked again when it names engines that may not be
-// used as far as is known here.
-const asksAnew = 3
+// maxArbiterAsks bounds how often the arbiter is asked when it names engines that this instance
+// must not use.
+const maxArbiterAsks = 3
 
-// placeLong asks the instance that decides for the long prompts of all. The last
-// return is false when it can't be reached.
+// placeLong asks the arbiter of the service, which places the long prompts of all instances, for
+// a placement. The last result is false when the arbiter did not decide and this instance has to
+// place the call itself.
 //
-// While engines are replaced, what the arbiter and this instance know of them differs
-// for some tenths of a second. Then it is asked again without the engines in question:
-// an instance that places long prompts by itself meanwhile gives parts to engines that
-// the arbiter gives away too, and whoever comes second there is seconds late.
+// While engines are being replaced, the views of the arbiter and of this instance differ for
+// some tenths of a second. The arbiter is then asked again with the engines in question
+// excluded: if this instance placed the prompt itself, it could assign parts to engines that the
+// arbiter is assigning as well, and the later of the two reads would be delayed by seconds.
 //
-// It isn't asked while all engines rest, or probably would reject the prompt: it would wait for
-// them in vain.
+// The arbiter is not asked while all engines rest or are likely to reject the prompt, because
+// the call would only wait for them.
 func (x *exchange) placeLong(ctx context.Context) (*work, error, bool) {
-	for range asksAnew {
-		if rest := x.restOfAll(time.Now()); rest.inVain() {
+	for range maxArbiterAsks {
+		if rest := x.summariseRest(time.Now()); rest.allLikelyReject() {
 			return nil, nil, false
 		}
-		w, err, decided := x.askForPlace(ctx)
+		w, err, decided := x.requestPlacement(ctx)
 		if decided || len(x.unusable) == 0 {
 			return w, err, decided
 		}
@@ -63,12 +64,13 @@
 	return nil, nil, false
 }
 
-// askForPlace asks the arbiter once. The last return is false when it can't be reached or
-// names engines that may not be used, which are noted.
-func (x *exchange) askForPlace(ctx context.Context) (*work, error, bool) {
+// requestPlacement asks the arbiter once. The last result is false when the arbiter can't be
+// reached or names engines that must not be used; these are recorded in x.unusable and
+// x.excluded.
+func (x *exchange) requestPlacement(ctx context.Context) (*work, error, bool) {
 	x.unusable = nil
-	answer, heard := x.server.askArbiter(ctx, x.service.Name, x.newAsk)
-	if !heard {
+	answer, responded := x.server.askArbiter(ctx, x.service.Name, x.newAsk)
+	if !responded {
 		return nil, nil, false
 	}
 	if answer == nil {
@@ -77,30 +79,30 @@
 	x.predicted, x.readers, x.seen, x.age = answer.FirstEvent, 1+len(answer.Helpers), answer.Seen, answer.Age
 	if answer.Decision == arbiter.Hopeless {
 		now := time.Now()
-		if rest := x.restOfAll(now); rest.inVain() {
+		if rest := x.summariseRest(now); rest.allLikelyReject() {
 			return nil, x.refuseResting(now, rest), true
 		}
-		return nil, x.hopeless(answer.FirstEvent, answer.Excess), true
+		return nil, x.refuseTooLate(answer.FirstEvent, answer.Excess), true
 	}
 	f := x.server.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	x.lastAsk = answer.ID
-	w, unusable := x.workFor(answer)
+	w, unusable := x.workFromAnswer(answer)
 	if len(unusable) > 0 {
-		x.unusable, x.barred = unusable, append(x.barred, unusable...)
+		x.unusable, x.excluded = unusable, append(x.excluded, unusable...)
 		return nil, nil, false
 	}
 	f.begin(time.Now(), w)
 	return w, nil, true
 }
 
-// newAsk returns the ask for the next send, with the times of now.
+// newAsk builds the ask for the next send, with durations relative to the current time.
 func (x *exchange) newAsk() *arbiter.Ask {
 	now := time.Now()
 	objective, waited := x.nextEvent(now)
 	ask := &arbiter.Ask{
-		ID:        fmt.Sprintf("%s/%s/%d", x.server.options.Process.Name, x.call.ID, x.tries),
+		ID:        fmt.Sprintf("%s/%s/%d", x.server.options.Process.Name, x.call.ID, x.plans),
 		Before:    x.lastAsk,
 		Service:   x.service.Name,
 		Prompt:    x.call.PromptTokens,
@@ -109,8 +111,8 @@
 		LongPause: x.longPause(),
 		Left:      x.deadline.Sub(now),
 		Waited:    waited,
-		Tried:     slices.Concat(x.tried, x.barred, x.closedEngines(now)),
-		Leads:     x.mayLead(),
+		Tried:     slices.Concat(x.tried, x.excluded, x.excludedEngines(now)),
+		Leads:     x.allowedLeads(),
 		Refused:   x.refused,
 	}
 	if x.events == 0 {
@@ -119,8 +121,8 @@
 	return ask
 }
 
-// nextEvent returns within which time the next event of the answer is due, and how much
-// of that has passed.
+// nextEvent returns the time limit for the next event of the answer and how much of it has
+// passed.
 func (x *exchange) nextEvent(now time.Time) (objective, waited time.Duration) {
 	if x.events > 0 {
 		return x.route.LongPause, now.Sub(x.eventAt)
@@ -128,16 +130,15 @@
 	return x.route.Objective, now.Sub(x.began)
 }
 
-// workFor returns the work that the arbiter's answer stands for, and the engines in it
-// that may not be used as far as is known here: the arbiter may have missed what this
-// instance knows, and an engine that leaves was promised to get nothing more. The lock
-// of the fleet must be held.
-func (x *exchange) workFor(answer *arbiter.Answer) (*work, []loadshare.Key) {
+// workFromAnswer converts an answer of the arbiter to a send, and returns the engines in it that
+// this instance must not use: the arbiter may not have seen yet that an engine rests or leaves,
+// and a leaving engine must get no new requests. The lock of the fleet must be held.
+func (x *exchange) workFromAnswer(answer *arbiter.Answer) (*work, []loadshare.Key) {
 	now := time.Now()
 	nodes := x.server.fleet.inUse(x.server.options.Plane.View().Upstreams, x.service.Name)
 	var unusable []loadshare.Key
 	find := func(key loadshare.Key) *node {
-		if nodes[key] == nil || nodes[key].closed(now) {
+		if nodes[key] == nil || nodes[key].blocked(now) {
 			unusable = append(unusable, key)
 		}
 		return nodes[key]
@@ -148,35 +149,36 @@
 		w.helpers = append(w.helpers, find(key))
 	}
 	for _, r := range answer.Reserved {
-		x.reserve(w, find(r.Engine), r.Tokens)
+		x.addReservation(w, find(r.Engine), r.Tokens)
 	}
-	x.tries++
+	x.plans++
 	return w, unusable
 }
 
-// newWork returns a send to a node, which counts as reading for the time of its part,
-// and its helpers like it.
+// newWork returns a send to the lead node. The lead and each helper count as reading for the
+// duration of the part.
 func (x *exchange) newWork(lead *node, part time.Duration) *work {
 	return &work{
-		lead:  lead,
-		part:  part,
-		tight: placement.Tight(x.service.Engine, x.longPause()),
-		held:  x.call.PromptTokens + x.call.AnswerTokens,
+		lead:       lead,
+		part:       part,
+		tight:      placement.Tight(x.service.Engine, x.longPause()),
+		heldTokens: x.call.PromptTokens + x.call.AnswerTokens,
 	}
 }
 
-// reserve notes memory that a send needs at a helper.
-func (x *exchange) reserve(w *work, n *node, tokens int) {
-	name := fmt.Sprintf("%s/%s/%d/%d", x.server.options.Process.Name, x.call.ID, x.tries, len(w.memory))
+// addReservation adds memory that the send needs at a helper.
+func (x *exchange) addReservation(w *work, n *node, tokens int) {
+	name := fmt.Sprintf("%s/%s/%d/%d", x.server.options.Process.Name, x.call.ID, x.plans, len(w.memory))
 	w.memory = append(w.memory, &reservation{node: n, name: name, tokens: tokens})
-	w.held -= tokens
+	w.heldTokens -= tokens
 }
 
-// longestWait is how long a waiting prompt is not planned again: others that end
-// early, or fail, free engines sooner than was predicted.
-const longestWait = 50 * time.Millisecond
+// maxReplanWait bounds the time until a waiting prompt is planned again: sends that end early or
+// fail free engines sooner than predicted.
+const maxReplanWait = 50 * time.Millisecond
 
-// tryPlace is one try to place the call; it returns how long to wait for the next.
+// tryPlace tries once to place the call. If the call has to wait, it returns the time until the
+// next try.
 func (x *exchange) tryPlace() (*work, time.Duration, error) {
 	now := time.Now()
 	if !now.Before(x.deadline) {
@@ -187,12 +189,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sweep(now, view.Upstreams)
-	free, open, full := f.candidates(now, view.Upstreams, x.service.Name)
-	rest := x.leaveOut(now, free, open)
-	x.mark(free)
-	x.mark(open)
-	w, wait, err := x.choose(now, free, open, full, rest)
-	if wait > 0 && rest.inVain() {
+	unlimited, withRoom, full := f.candidates(now, view.Upstreams, x.service.Name)
+	rest := x.excludeBlocked(now, unlimited, withRoom)
+	x.markCandidates(unlimited)
+	x.markCandidates(withRoom)
+	w, wait, err := x.choose(now, unlimited, withRoom, full, rest)
+	if wait > 0 && rest.allLikelyReject() {
 		return nil, 0, x.refuseResting(now, rest)
 	}
 	if w != nil {
@@ -201,52 +203,53 @@
 	return w, wait, err
 }
 
-// choose plans the call at the candidates. The lock of the fleet must be held.
-func (x *exchange) choose(now time.Time, free, open *candidates, full int, rest restOf) (*work, time.Duration, error) {
-	if w := x.planAlone(now, open); w != nil {
+// choose plans the call on the candidates. The lock of the fleet must be held.
+func (x *exchange) choose(now time.Time, unlimited, withRoom *candidates, full int, rest restSummary) (*work, time.Duration, error) {
+	if w := x.planWithinRate(now, withRoom); w != nil {
 		return w, 0, nil
 	}
-	if x.service.Engine == nil || x.call.PromptTokens == 0 || len(free.nodes) == 0 {
-		free.join(open)
+	if x.service.Engine == nil || x.call.PromptTokens == 0 || len(unlimited.nodes) == 0 {
+		unlimited.join(withRoom)
 	}
 	switch {
-	case len(free.nodes) > 0:
-		return x.plan(now, free.nodes, free.engines)
+	case len(unlimited.nodes) > 0:
+		return x.plan(now, unlimited.nodes, unlimited.engines)
 	case rest.resting > 0 && full == 0:
 		return nil, 0, x.refuseResting(now, rest)
-	case full == 0 && x.awaitsUpstreams(now):
-		return nil, longestWait, nil
+	case full == 0 && x.shouldAwaitUpstreams(now):
+		return nil, maxReplanWait, nil
 	default:
-		return nil, 0, x.noUpstream(full)
+		return nil, 0, x.refuseNoUpstream(full)
 	}
 }
 
-// mark notes which candidates the call has met and which may not lead it.
-func (x *exchange) mark(c *candidates) {
-	leads := x.mayLead()
+// markCandidates marks the candidates that the call must not try again and those that must not
+// lead it.
+func (x *exchange) markCandidates(c *candidates) {
+	leads := x.allowedLeads()
 	for i, n := range c.nodes {
-		c.engines[i].Tried = slices.Contains(x.tried, n.key) || slices.Contains(x.barred, n.key)
+		c.engines[i].Tried = slices.Contains(x.tried, n.key) || slices.Contains(x.excluded, n.key)
 		c.engines[i].HelpOnly = len(leads) > 0 && !slices.Contains(leads, n.key)
 	}
 }
 
-// awaitsUpstreams reports whether a call should wait until the first upstream of its
-// service is heard of: the process has just started, and they announce themselves
-// every second or so. After a loss of power of the whole fleet all calls would be turned
-// away until then.
-func (x *exchange) awaitsUpstreams(now time.Time) bool {
-	return now.Sub(x.server.startedAt) < startTime && now.Sub(x.began) < upstreamsWait
+// shouldAwaitUpstreams reports whether a call should wait for the first announcement of an
+// upstream of its service. Upstreams announce themselves about once a second; without the wait,
+// all calls that arrive just after a power loss of the whole fleet would be refused until the
+// first announcements arrive.
+func (x *exchange) shouldAwaitUpstreams(now time.Time) bool {
+	return now.Sub(x.server.startedAt) < startupGrace && now.Sub(x.began) < maxUpstreamsWait
 }
 
 const (
-	// startTime is how long after its start an instance may know no upstreams yet: two
-	// announcements and an election.
-	startTime = 4 * time.Second
-	// upstreamsWait bounds the wait of one call: about the interval of announcements.
-	upstreamsWait = time.Second
+	// startupGrace is how long after its start an instance may not know its upstreams yet: two
+	// announcement intervals and an election.
+	startupGrace = 4 * time.Second
+	// maxUpstreamsWait bounds the wait of one call: about one announcement interval.
+	maxUpstreamsWait = time.Second
 )
 
-// placementCall returns what placement needs to know of the call.
+// placementCall returns the placement input for the call.
 func (x *exchange) placementCall(now time.Time) *placement.Call {
 	objective, waited := x.nextEvent(now)
 	return &placement.Call{
@@ -259,7 +262,7 @@
 	}
 }
 
-// plan asks the placement.
+// plan runs the placement algorithm on the given engines.
 func (x *exchange) plan(now time.Time, nodes []*node, engines []placement.Engine) (*work, time.Duration, error) {
 	profile := x.service.Engine
 	if profile == nil || x.call.PromptTokens == 0 {
@@ -275,15 +278,15 @@
 		return nil, plan.Wait, nil
 	}
 	if !found {
-		return nil, 0, x.hopeless(plan.FirstEvent, plan.Excess)
+		return nil, 0, x.refuseTooLate(plan.FirstEvent, plan.Excess)
 	}
 	w := x.newWork(nodes[plan.Lead], plan.Part+plan.Apart)
 	for _, at := range plan.Helpers {
 		w.helpers = append(w.helpers, nodes[at])
 	}
 	for _, r := range plan.Reserved {
-		x.reserve(w, nodes[r.Engine], r.Tokens)
+		x.addReservation(w, nodes[r.Engine], r.Tokens)
 	}
-	x.tries++
+	x.plans++
 	return w, 0, nil
 }
--- a/forward/place_limited.go
+++ b/forward/place_limited.go
@@ -7,34 +7,34 @@
 	"celeryport/verdict"
 )
 
-// noUpstream refuses a call that no upstream may get. full is how many serve it and take
-// no more requests for now.
-func (x *exchange) noUpstream(full int) error {
+// refuseNoUpstream refuses a call for which no upstream is available. full is the number of
+// upstreams that serve it but whose named rate is used up.
+func (x *exchange) refuseNoUpstream(full int) error {
 	if full > 0 {
-		return verdict.Refuse(verdict.ReasonNoUpstream, fullRetry, "all upstreams of %s get as many requests as they take", x.service.Name)
+		return verdict.Refuse(verdict.ReasonNoUpstream, rateLimitedRetry, "all upstreams of %s get as many requests as they take", x.service.Name)
 	}
 	return verdict.Refuse(verdict.ReasonNoUpstream, busyRetry, "no upstream serves %s", x.service.Name)
 }
 
-// fullRetry is when to come back while all upstreams get the rate that they name.
-const fullRetry = time.Second
+// rateLimitedRetry is the Retry-After while all upstreams receive the rate that they name.
+const rateLimitedRetry = time.Second
 
-// planAlone gives a call that takes one upstream to one whose rate has room: the usual
-// placement, which prefers near upstreams and gathers prompts on a few, might leave it
-// without any.
-func (x *exchange) planAlone(now time.Time, open *candidates) *work {
+// planWithinRate places a call that needs only one upstream on a rate-limited upstream whose
+// rate has room. The general placement prefers near upstreams and concentrates prompts on few
+// engines, so that it might never choose such an upstream.
+func (x *exchange) planWithinRate(now time.Time, withRoom *candidates) *work {
 	if x.service.Engine == nil || x.call.PromptTokens == 0 {
-		if at := placement.IdleService(open.engines); at >= 0 {
+		if at := placement.IdleService(withRoom.engines); at >= 0 {
 			x.predicted = 0
-			return &work{lead: open.nodes[at]}
+			return &work{lead: withRoom.nodes[at]}
 		}
 		return nil
 	}
 	call := x.placementCall(now)
-	for i, n := range open.nodes {
-		if plan, found := placement.Alone(x.service.Engine, &open.engines[i], call); found {
+	for i, n := range withRoom.nodes {
+		if plan, found := placement.Alone(x.service.Engine, &withRoom.engines[i], call); found {
 			x.predicted, x.readers, x.seen = plan.FirstEvent, 1, plan.Seen
-			x.tries++
+			x.plans++
 			return x.newWork(n, plan.Part)
 		}
 	}
--- a/forward/polling.go
+++ b/forward/polling.go
@@ -19,29 +19,30 @@
 )
 
 const (
-	// pollInterval is how often an engine is polled: one call more a second for each
-	// engine, and a dark engine is known before many calls went there.
+	// pollInterval is how often an instance polls an engine: this adds one call per second to
+	// each engine per polling instance, and an unresponsive engine is detected before many calls
+	// are sent there.
 	pollInterval = time.Second
-	// pollAgain is the least time between two polls when an instance has failed to
-	// reach an engine meanwhile.
-	pollAgain = 300 * time.Millisecond
-	// pollTimeout bounds one poll; the answer takes some milliseconds.
+	// minPollInterval is the shortest time between two polls after another instance has failed
+	// to reach the engine.
+	minPollInterval = 300 * time.Millisecond
+	// pollTimeout bounds one poll; an answer takes some milliseconds.
 	pollTimeout = 300 * time.Millisecond
-	// pollTick is how often it is looked whether a poll is due.
+	// pollTick is how often it is checked whether a poll is due.
 	pollTick = 100 * time.Millisecond
-	// pollers is how many instances poll an engine, so that the loss of one, or of its
-	// path to the engine, does not hide the engine from all.
-	pollers = 2
-	// reportKept is how long a report counts: two polls and a timeout.
-	reportKept = 2*pollInterval + pollTimeout
-	// normalPace and the steps above it are what is reported of an engine's pace; smaller
-	// differences are not worth a datagram.
+	// pollersPerEngine is how many instances poll an engine, so that the loss of one of them, or
+	// of its path to the engine, does not hide the engine from all instances.
+	pollersPerEngine = 2
+	// reportRetention is how long a report counts: two polls and a timeout.
+	reportRetention = 2*pollInterval + pollTimeout
+	// normalPace and paceStep quantise the reported pace of an engine; smaller differences are
+	// not worth a datagram.
 	normalPace = 10
 	paceStep   = 5
 )
 
-// pollEngines polls those engines that fall to this instance, until ctx ends. What
-// they say goes to all other instances with the loads.
+// pollEngines polls the engines assigned to this instance until ctx ends. Their reports are sent
+// to all other instances with the loads.
 func (s *Server) pollEngines(ctx context.Context) {
 	ticker := time.NewTicker(pollTick)
 	defer ticker.Stop()
@@ -64,7 +65,7 @@
 	}
 }
 
-// nodesToPoll lists the engines that fall to this instance.
+// nodesToPoll lists the engines that this instance has to poll.
 func (s *Server) nodesToPoll() []*node {
 	view := s.options.Plane.View()
 	if view == nil || view.Tree == nil || view.Tree.Forwarding == nil || view.Upstreams == nil {
@@ -77,7 +78,7 @@
 	for _, service := range view.Tree.Forwarding.Engines() {
 		for _, u := range newestAt(view.Upstreams, service) {
 			n := f.node(u)
-			if !n.replaced && !n.lostSince(u.HeardAt) && fallsTo(s.options.Process.Name, n, view.Instances) {
+			if !n.replaced && !n.failedSince(u.HeardAt) && isPoller(s.options.Process.Name, n, view.Instances) {
 				found = append(found, n)
 			}
 		}
@@ -85,14 +86,14 @@
 	return found
 }
 
-// lostSince reports whether a node failed to answer after its last announcement.
-// Whoever answers at its address from then on may be another process, which will be
-// known by its own announcement.
-func (n *node) lostSince(announced time.Time) bool { return n.report.lostAt.After(announced) }
+// lostSince reports whether a node failed to answer after its last announcement. A process that
+// answers at its address from then on may be another one, which will be known by its own
+// announcement.
+func (n *node) failedSince(announced time.Time) bool { return n.report.failedAt.After(announced) }
 
-// newestAt returns the upstreams of a service without those at whose address another
-// one was heard later: its successor would answer for it, and calls that are meant
-// for the dead one would be sent there in vain.
+// newestAt returns the upstreams of a service, for each address only the one heard last:
+// otherwise the successor would answer polls for a dead upstream, and calls would still be sent
+// to the dead one.
 func newestAt(snapshot *upstream.Snapshot, service string) []*upstream.Upstream {
 	newest := map[string]*upstream.Upstream{}
 	for _, at := range snapshot.Serving(service) {
@@ -105,51 +106,51 @@
 	return slices.Collect(maps.Values(newest))
 }
 
-// duePoll reports whether a node is to be polled now, and notes that it is.
+// duePoll reports whether a node is due to be polled, and if so records the time of the poll.
 func (f *fleet) duePoll(now time.Time, n *node) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n.unwilling(now) != nil {
+	if n.unavailable(now) != nil {
 		return false
 	}
 	since := now.Sub(n.report.polledAt)
-	if since < pollAgain || since < pollInterval && f.board.Load(now, n.key).Add(f.zones.Load(now, n.key)).Suspicions == 0 {
+	if since < minPollInterval || since < pollInterval && f.board.Load(now, n.key).Add(f.zones.Load(now, n.key)).Suspicions == 0 {
 		return false
 	}
 	n.report.polledAt = now
 	return true
 }
 
-// fallsTo reports whether an instance is one of those that poll a node: those with
-// the highest hash of both names. All instances agree on it without asking each other, and
-// only the share of one that goes moves to others.
-func fallsTo(own string, n *node, instances []membership.Instance) bool {
-	mine, higher := weightFor(own, n.key), 0
+// isPoller reports whether an instance is one of those that poll a node: those with the highest
+// hash of both names. All instances compute the same assignment without communication, and when
+// an instance leaves, only its share moves to others.
+func isPoller(own string, n *node, instances []membership.Instance) bool {
+	mine, higher := rendezvousWeight(own, n.key), 0
 	for i := range instances {
 		other := &instances[i]
-		if other.Address == "" || other.Name == own || weightFor(other.Name, n.key) <= mine {
+		if other.Address == "" || other.Name == own || rendezvousWeight(other.Name, n.key) <= mine {
 			continue
 		}
 		higher++
 	}
-	return higher < pollers
+	return higher < pollersPerEngine
 }
 
-func weightFor(instance string, key loadshare.Key) uint64 {
-	var both [16]byte
-	binary.LittleEndian.PutUint64(both[:], xxhash.Sum64String(instance))
-	binary.LittleEndian.PutUint64(both[8:], uint64(key))
-	return xxhash.Sum64(both[:])
+func rendezvousWeight(instance string, key loadshare.Key) uint64 {
+	var names [16]byte
+	binary.LittleEndian.PutUint64(names[:], xxhash.Sum64String(instance))
+	binary.LittleEndian.PutUint64(names[8:], uint64(key))
+	return xxhash.Sum64(names[:])
 }
 
-// poll polls one node and notes the answer. An idle connection may have gone silent,
-// so that only a fresh one speaks against the node.
+// poll polls one node and records the result. Because an idle connection may be dead, only a
+// failure on a new connection counts against the node.
 func (s *Server) poll(ctx context.Context, n *node) {
 	report, err := s.pollOnce(ctx, n, false)
 	if errors.Is(err, errUnreadableReport) {
-		return // it was reached; what it wrote says nothing, good or bad
+		return // the node was reached, but its report is neither evidence for nor against it
 	}
-	if err != nil && ctx.Err() == nil && !errors.Is(err, errElsewhere) {
+	if err != nil && ctx.Err() == nil && !errors.Is(err, errWrongIncarnation) {
 		report, err = s.pollOnce(ctx, n, true)
 	}
 	if ctx.Err() != nil {
@@ -158,21 +159,21 @@
 	f := s.fleet
 	if err != nil {
 		f.mu.Lock()
-		n.report.heardAt, n.report.lostAt = time.Time{}, time.Now()
-		works := time.Since(n.answered) < answerKept
+		n.report.answeredAt, n.report.failedAt = time.Time{}, time.Now()
+		answering := time.Since(n.answered) < answerRetention
 		f.mu.Unlock()
-		if !works {
+		if !answering {
 			f.suspect(n, errors.Wrap(err, "poll"))
 		}
-		f.changed()
+		f.notifyChanged()
 		return
 	}
 	if n.incarnation > upstream.Unstated && report.Incarnation > n.incarnation {
-		f.misdirected(n)
+		f.recordReplaced(n)
 		return
 	}
 	f.mu.Lock()
-	n.report.heardAt = time.Now()
+	n.report.answeredAt = time.Now()
 	n.report.pace = reportedPace(report.Pace)
 	cleared := n.suspicion.clear()
 	f.mu.Unlock()
@@ -190,8 +191,8 @@
 		return nil, err
 	}
 	if status == http.StatusMisdirectedRequest {
-		s.fleet.misdirected(n)
-		return nil, errElsewhere
+		s.fleet.recordReplaced(n)
+		return nil, errWrongIncarnation
 	}
 	if status != http.StatusOK {
 		return nil, errors.Newf("status %d", status)
@@ -200,11 +201,10 @@
 	return report, errors.Mark(err, errUnreadableReport)
 }
 
-// errUnreadableReport says that an engine answered a poll with something that is no
-// report.
-var errUnreadableReport = errors.New("the report can't be read")
+// errUnreadableReport means that an engine answered a poll with an invalid report.
+var errUnreadableReport = errors.New("invalid engine report")
 
-// reportedPace rounds a pace to what is reported, in tenths.
+// reportedPace rounds a pace to the reported steps, in tenths.
 func reportedPace(pace float64) int {
 	steps := math.Round((pace*normalPace - normalPace) / paceStep)
 	return min(math.MaxUint8, normalPace+paceStep*int(max(0, steps)))
--- a/forward/rates.go
+++ b/forward/rates.go
@@ -10,42 +10,42 @@
 	"celeryport/throttle"
 )
 
-// rates is what this instance knows of the request rates that upstreams name, and what it
-// has used of its part of them. The lock of the fleet guards it.
+// rates holds the request rates that upstreams name and how much of its share of them this
+// instance has used. It is guarded by the lock of the fleet.
 type rates struct {
-	table   *throttle.Table
-	buckets map[loadshare.Key]*throttle.Bucket
-	changes []throttle.Fact // heard here and not yet told to the others
-	news    chan struct{}   // there are changes
-	arrival func(now time.Time, service string) float64
+	table    *throttle.Table
+	buckets  map[loadshare.Key]*throttle.Bucket
+	changes  []throttle.Fact // received here and not yet sent to the other instances
+	changed  chan struct{}   // signals that there are changes
+	callRate func(now time.Time, service string) float64
 }
 
-func newRates(arrival func(time.Time, string) float64) *rates {
+func newRates(callRate func(time.Time, string) float64) *rates {
 	return &rates{
-		table:   throttle.NewTable(),
-		buckets: map[loadshare.Key]*throttle.Bucket{},
-		news:    make(chan struct{}, 1),
-		arrival: arrival,
+		table:    throttle.NewTable(),
+		buckets:  map[loadshare.Key]*throttle.Bucket{},
+		changed:  make(chan struct{}, 1),
+		callRate: callRate,
 	}
 }
 
-// noteRate takes in the rate that an answer of a node names. An answer that is none of an
-// upstream that ran the call says nothing of it.
-func (f *fleet) noteRate(n *node, a *Answer) {
+// recordRate records the rate named in an answer of a node. An answer without a rate withdraws
+// it only if the answer is from an upstream that ran the call.
+func (f *fleet) recordRate(n *node, a *Answer) {
 	if a.Rate == nil && !a.Genuine {
 		return
 	}
 	now := time.Now()
 	f.mu.Lock()
-	news := f.rates.table.Answered(now, n.key, a.Rate)
-	if news {
+	changed := f.rates.table.Answered(now, n.key, a.Rate)
+	if changed {
 		f.rates.changes = append(f.rates.changes, f.rates.table.Fact(n.key))
 	}
 	f.mu.Unlock()
-	if !news {
+	if !changed {
 		return
 	}
-	wake(f.rates.news)
+	wake(f.rates.changed)
 	fields := event.Fields{"upstream": n.name, "address": n.address}
 	if a.Rate != nil {
 		fields["rate"] = *a.Rate
@@ -53,8 +53,8 @@
 	eventRateNamed.Log(f.options.Log, fields)
 }
 
-// limited reports whether a node names a rate, and if so whether this instance may send it
-// a request now. The lock must be held.
+// limited reports whether a node names a rate, and if so whether this instance may send it a
+// request now. The lock must be held.
 func (f *fleet) limited(now time.Time, n *node) (named, open bool) {
 	rate, named := f.rates.table.Rate(now, n.key)
 	if !named {
@@ -66,41 +66,42 @@
 		bucket = throttle.NewBucket(now)
 		f.rates.buckets[n.key] = bucket
 	}
-	bucket.SetRate(now, f.shareOf(now, n, rate))
+	bucket.SetRate(now, f.rateShare(now, n, rate))
 	return true, bucket.Open(now)
 }
 
-// shareOf returns the part of a node's rate that this instance may use. Where the node reads
-// prompts, a part is set aside for the instance that places the long ones of all.
-func (f *fleet) shareOf(now time.Time, n *node, rate float64) float64 {
+// rateShare returns this instance's share of a node's rate. If the node is an engine that reads
+// prompts, a part of the rate is reserved for the arbiter, which places the long prompts of all
+// instances.
+func (f *fleet) rateShare(now time.Time, n *node, rate float64) float64 {
 	view := f.options.Plane.View()
 	rank, instances := rankAt(n, f.options.Process, view.Instances)
 	if engineProfile(view.Tree, n.service) == nil {
-		return throttle.Share(rate, rank, instances, f.rates.arrival(now, n.service))
+		return throttle.Share(rate, rank, instances, f.rates.callRate(now, n.service))
 	}
-	share := throttle.Share((1-arbiterPart)*rate, rank, instances, f.rates.arrival(now, n.service))
+	share := throttle.Share((1-arbiterRateShare)*rate, rank, instances, f.rates.callRate(now, n.service))
 	if arbiter := firstArbiter(view.Instances, n.service, nil); arbiter != nil && arbiter.Name == f.options.Process.Name {
-		share += arbiterPart * rate
+		share += arbiterRateShare * rate
 	}
 	return share
 }
 
-// arbiterPart is the part of a rate that is set aside for long prompts. What these leave
-// goes to the short prompts of the instance that places them.
-const arbiterPart = 0.8
+// arbiterRateShare is the part of a rate that is reserved for long prompts. What they leave
+// unused goes to the short prompts of the arbiter's own calls.
+const arbiterRateShare = 0.8
 
-// countLimited counts a request to a node that names a rate. The lock must be held.
-func (f *fleet) countLimited(now time.Time, n *node) {
+// consumeRate counts a request to a node that names a rate. The lock must be held.
+func (f *fleet) consumeRate(now time.Time, n *node) {
 	if bucket := f.rates.buckets[n.key]; bucket != nil {
 		bucket.Take(now)
 	}
 }
 
-// rankAt returns the place of an instance in an order that differs with the upstream and
-// that all instances agree on, and how many there are. Those of the upstream's availability
-// zone come first.
+// rankAt returns the rank of an instance for an upstream and the number of instances. The order
+// differs between upstreams and all instances compute the same one; instances of the upstream's
+// availability zone come first.
 func rankAt(n *node, self *settings.Process, instances []membership.Instance) (rank, count int) {
-	own, near := weightFor(self.Name, n.key), self.AvailabilityZone == n.zone
+	own, near := rendezvousWeight(self.Name, n.key), self.AvailabilityZone == n.zone
 	count = 1
 	for i := range instances {
 		other := &instances[i]
@@ -109,7 +110,7 @@
 		}
 		count++
 		otherNear := other.AvailabilityZone == n.zone
-		if otherNear && !near || otherNear == near && weightFor(other.Name, n.key) > own {
+		if otherNear && !near || otherNear == near && rendezvousWeight(other.Name, n.key) > own {
 			rank++
 		}
 	}
--- a/forward/rates_sharing.go
+++ b/forward/rates_sharing.go
@@ -12,28 +12,28 @@
 	"celeryport/throttle"
 )
 
-// gossipInterval is how often an instance tells another one, chosen at random, which rates
-// upstreams name. It repairs what lost datagrams and new instances miss.
+// gossipInterval is how often an instance sends its known rates to a randomly chosen other
+// instance. This repairs the effect of lost datagrams and informs new instances.
 const gossipInterval = time.Second
 
-// shareRates tells the other instances which rates upstreams name, until ctx ends: what is
-// heard here at once to all, and all that is known to one of them now and then.
+// shareRates exchanges named rates with the other instances until ctx ends: changes received
+// here go to all instances at once, and all known rates go to one of them at intervals.
 func (s *Server) shareRates(ctx context.Context, conn net.PacketConn) {
-	timer := time.NewTicker(gossipInterval)
-	defer timer.Stop()
+	ticker := time.NewTicker(gossipInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.fleet.rates.news:
+		case <-s.fleet.rates.changed:
 			s.broadcastRates(conn)
-		case now := <-timer.C:
+		case now := <-ticker.C:
 			s.gossipRates(now, conn)
 		}
 	}
 }
 
-// broadcastRates tells all instances what was heard here.
+// broadcastRates sends the rate changes received by this instance to all other instances.
 func (s *Server) broadcastRates(conn net.PacketConn) {
 	f := s.fleet
 	f.mu.Lock()
@@ -46,8 +46,9 @@
 	s.sendRates(now, conn, relays, datagram.RatesToRelay, changes, false)
 }
 
-// gossipRates tells one other instance all that is known and asks for what is not. An instance
-// that knows nothing asks too: left to those that know, it may be passed over for many seconds.
+// gossipRates sends all known rates to one other instance and requests those missing here. An
+// instance that knows no rates sends a request too: otherwise it could stay uninformed for many
+// seconds, until an informed instance happens to choose it.
 func (s *Server) gossipRates(now time.Time, conn net.PacketConn) {
 	f := s.fleet
 	f.mu.Lock()
@@ -60,7 +61,7 @@
 	}
 }
 
-// randomPeer returns one of the other instances that take calls, nil if there is none.
+// randomPeer returns a random other instance that accepts calls, or nil if there is none.
 func (s *Server) randomPeer() *membership.Instance {
 	var peers []*membership.Instance
 	instances := s.options.Plane.View().Instances
@@ -86,8 +87,8 @@
 	return limited
 }
 
-// sendRates sends facts in as many datagrams as they need. One that asks is sent even
-// without facts.
+// sendRates sends facts in as many datagrams as needed. If asks is set, one is sent even without
+// facts.
 func (s *Server) sendRates(now time.Time, conn net.PacketConn, to []netip.AddrPort, kind datagram.Kind, facts []throttle.Fact, asks bool) {
 	for chunk := range slices.Chunk(facts, throttle.MostInMessage) {
 		message := throttle.Message{Asks: asks, Facts: chunk}
@@ -99,9 +100,9 @@
 	}
 }
 
-// takeRates takes in a message of rates, sends it on within the own availability zone if it
-// is meant for it, and answers with what the sender does not know if it asks.
-func (s *Server) takeRates(from net.Addr, kind datagram.Kind, content []byte) error {
+// handleRates merges a rates message, relays it within the own availability zone if it is marked
+// for that, and answers a request with the facts that the sender lacks.
+func (s *Server) handleRates(from net.Addr, kind datagram.Kind, content []byte) error {
 	now := time.Now()
 	message, err := throttle.Decode(now, content)
 	if err != nil {
--- a/forward/rates_test.go
+++ b/forward/rates_test.go
@@ -16,8 +16,8 @@
 	"celeryport/throttle"
 )
 
-// Guards against long prompts, which one instance places for all, that overrun an engine
-// which names a rate: a part of a prompt counts like a request.
+// Guards against overloading an engine that names a rate with long prompts placed by the
+// arbiter: each part of a prompt counts as a request.
 func TestArbiterKeepsTheNamedRates(t *testing.T) {
 	const rate, seconds = 1.2, 20
 	synctest.Test(t, func(t *testing.T) {
@@ -44,14 +44,14 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		if most := rate*seconds + 2; float64(used) > most || float64(used) < rate*seconds/3 {
-			t.Errorf("the engine reads for %d prompts in %d s, and takes %g a second", used, seconds, rate)
+			t.Errorf("the engine reads parts of %d prompts in %d s, and accepts %g per second", used, seconds, rate)
 		}
 	})
 }
 
-// Guards against an instance that decides for all although it knows no engine that it may
-// give away.
-func TestArbiterWithoutOpenEnginesDecidesNothing(t *testing.T) {
+// Guards against an instance that acts as arbiter although it knows no engine that it may
+// assign.
+func TestArbiterWithoutAvailableEnginesDoesNotDecide(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, "front-1", "front-1")
 		world := &arbiterWorld{server: s, now: time.Now()}
@@ -62,7 +62,7 @@
 			s.fleet.mu.Unlock()
 		}
 		if fleet := world.Fleet("model"); fleet != nil {
-			t.Errorf("no engine takes anything, and %d are given away", len(fleet.Keys))
+			t.Errorf("no engine accepts requests, but the arbiter uses %d", len(fleet.Keys))
 		}
 	})
 }
@@ -86,7 +86,7 @@
 				server: s, call: &Call{PromptTokens: 500, AnswerTokens: 100}, service: service, route: &settings.Route{Objective: 300 * time.Millisecond, LongPause: 250 * time.Millisecond, MaxSends: 2},
 				began: time.Now(), deadline: time.Now().Add(10 * time.Second),
 			}
-			s.budgets.call(time.Now(), "model")
+			s.budgets.recordCall(time.Now(), "model")
 			w, _, err := x.tryPlace()
 			if err != nil {
 				t.Fatal(err)
@@ -98,40 +98,40 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		if got < 10 || got > 20 {
-			t.Errorf("the engine got %d prompts in 10 s, and takes 2 a second", got)
+			t.Errorf("the engine got %d prompts in 10 s, and accepts 2 per second", got)
 		}
 	})
 }
 
-// sentPackets is a socket that keeps what is sent.
-type sentPackets struct {
+// recordingConn is a socket that records the sent datagrams.
+type recordingConn struct {
 	net.PacketConn
 	sent [][]byte
 }
 
-func (p *sentPackets) WriteTo(data []byte, _ net.Addr) (int, error) {
+func (p *recordingConn) WriteTo(data []byte, _ net.Addr) (int, error) {
 	p.sent = append(p.sent, data)
 	return len(data), nil
 }
 
-// Guards against an instance that missed the first word of a rate and hears of it only when those
-// that know it happen to choose it.
+// Guards against an instance that missed the first message about a rate and learns of it only
+// when an informed instance happens to choose it for gossip.
 func TestInstanceThatKnowsNoRatesAsksForThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, "front-1", "front-1", "other-1")
 		s.options.Metrics = NewMetrics(prometheus.NewRegistry())
 		time.Sleep(time.Minute)
-		conn := &sentPackets{}
+		conn := &recordingConn{}
 		s.gossipRates(time.Now(), conn)
 		if len(conn.sent) != 1 {
-			t.Fatalf("%d datagrams are sent", len(conn.sent))
+			t.Fatalf("%d datagrams sent, want 1", len(conn.sent))
 		}
 		kind, content, err := datagram.Open("key", conn.sent[0])
 		if err != nil || kind != datagram.Rates {
 			t.Fatalf("kind %v, %v", kind, err)
 		}
 		if message, err := throttle.Decode(time.Now(), content); err != nil || !message.Asks {
-			t.Errorf("it sends %+v (%v)", message, err)
+			t.Errorf("sent %+v (%v), want a request for rates", message, err)
 		}
 	})
 }
--- a/forward/recipients.go
+++ b/forward/recipients.go
@@ -9,11 +9,10 @@
 	"celeryport/settings"
 )
 
-// recipients lists who gets a report directly: the other instances of the own
-// availability zone, and, of a report of the whole zone, one of each other zone that
-// sends it on. That one changes
-// with each report, so that the loss of an instance costs its zone one report in as
-// many as it has instances.
+// recipients lists the direct recipients of a report: peers are the other instances of the own
+// availability zone, relays one instance of each other zone, which relays the report of a whole
+// zone there. The relay changes with each report, so that the loss of an instance costs its zone
+// only one report in as many as it has instances.
 func recipients(instances []membership.Instance, self *settings.Process, sequence uint32) (peers, relays []netip.AddrPort) {
 	zones := map[string][]*membership.Instance{}
 	for i := range instances {
@@ -28,8 +27,8 @@
 			continue
 		}
 		slices.SortFunc(others, func(a, b *membership.Instance) int { return cmp.Compare(a.Name, b.Name) })
-		turn := (uint64(sequence) + weightFor(self.Name, 0)) % uint64(len(others))
-		relays = append(relays, addressesOf(others[turn:turn+1])...)
+		next := (uint64(sequence) + rendezvousWeight(self.Name, 0)) % uint64(len(others))
+		relays = append(relays, addressesOf(others[next:next+1])...)
 	}
 	return peers, relays
 }
--- a/forward/recipients_test.go
+++ b/forward/recipients_test.go
@@ -10,9 +10,9 @@
 )
 
 func TestReportsReachAllInstancesOfAllZones(t *testing.T) {
-	// Reports of loads go to one instance of each other zone, which sends them on. One
-	// that nobody sends to would place calls on engines that are full, and if the same
-	// instance always sent on, its death would leave its zone blind.
+	// Load reports are sent to one instance of each other zone, which relays them. An instance
+	// that gets no reports would place calls on engines that are full, and if the relay was
+	// always the same instance, its death would cut its zone off from all reports.
 	var instances []membership.Instance
 	for i := range 24 {
 		instances = append(instances, membership.Instance{
@@ -44,7 +44,7 @@
 		}
 		for relay, times := range used {
 			if times > 1 {
-				t.Fatalf("%s sends on %d of 6 reports of %s", relay, times, sender.Name)
+				t.Fatalf("%s relays %d of 6 reports of %s", relay, times, sender.Name)
 			}
 		}
 	}
--- a/forward/refuse_test.go
+++ b/forward/refuse_test.go
@@ -15,15 +15,15 @@
 	"celeryport/verdict"
 )
 
-// plainDialect answers with no fields of its own.
+// plainDialect adds no header fields to refusals.
 type plainDialect struct{ Dialect }
 
 func (plainDialect) RefusalFields(*Call, time.Duration) httpwire.Fields { return nil }
 
-func TestNoPromiseForWhatMayHaveRun(t *testing.T) {
-	// An error says that the call may have run, and its reason usually goes with a
-	// status that callers take for the promise that it has not. They would send again
-	// what may run once only.
+func TestPossiblyRunCallGetsNoNotRunStatus(t *testing.T) {
+	// If an error says that the call may have run, the answer must not have a status that
+	// callers take as a guarantee that it has not: they would send again a call that may run
+	// only once.
 	tests := []struct {
 		err    error
 		status int
@@ -44,15 +44,15 @@
 		}()
 		head, err := httpwire.ReadResponseHead(bufio.NewReader(theirs), defaultHeaderBytes, http.MethodGet)
 		if err != nil || head.Status != test.status {
-			t.Errorf("%v is answered with %+v (%v), want %d", test.err, head, err, test.status)
+			t.Errorf("%v: answered with %+v (%v), want status %d", test.err, head, err, test.status)
 		}
 	}
 }
 
 func TestRepeatsStayWithinTheShare(t *testing.T) {
-	// A service begins to fail all its calls. If every instance repeated each of them,
-	// the service would get twice its load when it can bear it least; together they
-	// may send a fifth more, and a fixed number besides.
+	// A service begins to fail all its calls. If every instance repeated each of them, the
+	// service would get twice its load when it is least able to handle it; all instances
+	// together may send a fifth more plus a fixed number.
 	const instances, calls = 8, 50
 	budget := RepeatBudget{Ratio: 0.2, Slack: 104, Window: 10 * time.Second}
 	now := time.Unix(1_700_000_000, 0)
@@ -61,8 +61,8 @@
 		b := newBudgets(budget, func() int { return instances })
 		for range calls {
 			now = now.Add(time.Millisecond)
-			b.call(now, "shop")
-			for b.take(now, "shop") {
+			b.recordCall(now, "shop")
+			for b.takeRepeat(now, "shop") {
 				repeats++
 			}
 		}
@@ -71,13 +71,13 @@
 		t.Errorf("%d repeats of %d calls, at most %.0f are allowed", repeats, instances*calls, most)
 	}
 	b := newBudgets(budget, func() int { return instances })
-	for b.take(now, "shop") {
+	for b.takeRepeat(now, "shop") {
 	}
-	if b.take(now.Add(budget.Window/2), "shop") {
-		t.Error("the share is there again before the window is over")
+	if b.takeRepeat(now.Add(budget.Window/2), "shop") {
+		t.Error("the share is available again before the end of the window")
 	}
-	if !b.take(now.Add(budget.Window+time.Millisecond), "shop") {
-		t.Error("the share does not come back")
+	if !b.takeRepeat(now.Add(budget.Window+time.Millisecond), "shop") {
+		t.Error("the share is not available again after the window")
 	}
 }
 
@@ -87,15 +87,15 @@
 	last := time.Duration(0)
 	for range 12 {
 		wait := d.raise(now)
-		if wait < last || wait > mostSuspicion {
+		if wait < last || wait > maxSuspicion {
 			t.Fatalf("%s after %s", wait, last)
 		}
 		last = wait
 	}
-	if !d.holds(now) || d.holds(now.Add(mostSuspicion)) {
-		t.Error("it does not hold for its time")
+	if !d.active(now) || d.active(now.Add(maxSuspicion)) {
+		t.Error("the suspicion is not active for exactly its period")
 	}
-	if !d.clear() || d.holds(now) || d.clear() {
-		t.Error("an answer does not clear it")
+	if !d.clear() || d.active(now) || d.clear() {
+		t.Error("clear does not reset the suspicion")
 	}
 }
--- a/forward/rejection_test.go
+++ b/forward/rejection_test.go
@@ -15,7 +15,8 @@
 	"celeryport/settings"
 )
 
-// Guards against an arbiter that names a helper which other instances know to be gone.
+// Guards against an arbiter that names a helper which other instances have already found to be
+// gone.
 func TestArbiterPassesOverHelpersThatRefusedOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, "front-1", "front-1")
@@ -23,10 +24,10 @@
 		avoided := func() int {
 			s.fleet.mu.Lock()
 			defer s.fleet.mu.Unlock()
-			free, _, _ := s.fleet.candidates(time.Now(), s.options.Plane.View().Upstreams, "model")
-			return len(slices.DeleteFunc(slices.Clone(free.engines), func(e placement.Engine) bool { return !e.Avoid }))
+			unlimited, _, _ := s.fleet.candidates(time.Now(), s.options.Plane.View().Upstreams, "model")
+			return len(slices.DeleteFunc(slices.Clone(unlimited.engines), func(e placement.Engine) bool { return !e.Avoid }))
 		}
-		avoided() // all engines are known
+		avoided() // registers all engines
 		ask := longAsk()
 		ask.ID = "front-2/call/1"
 		s.fleet.mu.Lock()
@@ -34,16 +35,16 @@
 			ask.Refused = []loadshare.Key{n.key}
 		}
 		s.fleet.mu.Unlock()
-		s.takeAsk(&net.UDPAddr{}, ask)
+		s.handleAsk(&net.UDPAddr{}, ask)
 		synctest.Wait()
 		if got := avoided(); got != 1 {
-			t.Errorf("%d engines are passed over, want the one that refused", got)
+			t.Errorf("%d engines are avoided, want only the one that refused", got)
 		}
 	})
 }
 
-// Guards against sending a call to more engines than its route allows, and against asking
-// a helper that refused again.
+// Guards against sending a call to more engines than its route allows, and against asking a
+// helper again that has refused.
 func TestRejectedCallIsPlacedWithoutTheHelperAtFault(t *testing.T) {
 	s := newTestServer(t, "front-1", "front-1")
 	x := &exchange{
@@ -51,14 +52,14 @@
 		service: &s.options.Plane.View().Tree.Forwarding.Services[0],
 	}
 	reject := func(lead, helper loadshare.Key) {
-		x.noteRejection(&work{lead: &node{key: lead}}, &outcome{reached: true, helper: &node{key: helper}})
+		x.recordRejection(&work{lead: &node{key: lead}}, &outcome{reached: true, helper: &node{key: helper}})
 	}
 	reject(1, 7)
 	if ask := x.newAsk(); len(ask.Leads) != 0 || !slices.Equal(ask.Tried, []loadshare.Key{7}) || !slices.Equal(ask.Refused, []loadshare.Key{7}) {
-		t.Errorf("after one rejection %+v", ask)
+		t.Errorf("ask after one rejection: %+v", ask)
 	}
 	reject(2, 8)
 	if ask := x.newAsk(); !slices.Equal(ask.Leads, []loadshare.Key{1, 2}) || !slices.Equal(ask.Tried, []loadshare.Key{7, 8}) {
-		t.Errorf("after as many engines as the route allows %+v", ask)
+		t.Errorf("ask after as many engines as the route allows: %+v", ask)
 	}
 }
--- a/forward/reservation.go
+++ b/forward/reservation.go
@@ -13,39 +13,39 @@
 	"celeryport/httpwire"
 )
 
-// reservation is memory set aside at a helper for a part of one call's prompt.
+// reservation is memory reserved at a helper for a part of one call's prompt.
 type reservation struct {
 	node   *node
-	name   string // of this send alone: another send may meet the first one still at work
+	name   string // unique to this send, since an earlier send of the call may still be in progress at the helper
 	tokens int
 }
 
 const (
-	// holdFor is the lease of a reservation. An instance that is killed gives nothing
-	// back; four seconds later its memory has to be free.
-	holdFor = 3900 * time.Millisecond
-	// renewEvery leaves time for two tries before a lease ends. Most prompts are
-	// answered before the first renewal is due: an engine may carry out an order late,
-	// and a late renewal would set memory aside for nobody.
-	renewEvery = 2500 * time.Millisecond
+	// leaseDuration is the lease of a reservation. An instance that is killed releases nothing,
+	// and its memory has to be free four seconds later.
+	leaseDuration = 3900 * time.Millisecond
+	// renewInterval leaves time for two tries before a lease ends. Most prompts are answered
+	// before the first renewal is due: an engine may carry out an order late, and a late renewal
+	// would reserve memory that no send uses.
+	renewInterval = 2500 * time.Millisecond
 	// orderTimeout bounds one order; between zones it takes some milliseconds.
 	orderTimeout = 250 * time.Millisecond
-	// releasePause is the pause between two tries to give memory back.
-	releasePause = 200 * time.Millisecond
+	// releaseRetryInterval is the pause between two tries to release memory.
+	releaseRetryInterval = 200 * time.Millisecond
 )
 
-// errNoMemory says that a helper did not set the memory aside.
+// errNoMemory means that a helper did not reserve the memory.
 var errNoMemory = errors.New("no memory at a helper")
 
-// reserve sets the memory of a send aside at all helpers, or at none. With an error it
-// returns the helper that did not.
+// reserve reserves the memory of a send at all helpers or at none. With an error it returns the
+// helper that refused.
 func (f *fleet) reserve(ctx context.Context, w *work) (*node, error) {
 	failures := make([]error, len(w.memory))
-	var all sync.WaitGroup
+	var wait sync.WaitGroup
 	for i, r := range w.memory {
-		all.Go(func() { failures[i] = f.order(ctx, r, false) })
+		wait.Go(func() { failures[i] = f.order(ctx, r, false) })
 	}
-	all.Wait()
+	wait.Wait()
 	for i, failure := range failures {
 		if failure == nil {
 			continue
@@ -61,9 +61,9 @@
 	return nil, nil
 }
 
-// renew keeps the leases of a send that takes long.
+// renew renews the leases of a send until it ends.
 func (f *fleet) renew(w *work) {
-	for clock.Pause(w.renewing, renewEvery) {
+	for clock.Pause(w.renewing, renewInterval) {
 		for _, r := range w.memory {
 			if err := f.order(w.renewing, r, false); err != nil && w.renewing.Err() == nil {
 				eventNotReserved.Log(f.options.Log, event.Fields{
@@ -74,21 +74,21 @@
 	}
 }
 
-// release gives the memory back, in the background, until the engine confirms it or the lease has
-// ended; it isn't repeated while the engine rests. Also what was refused is given back: an order
-// without an answer may have been carried out.
+// release releases the memory of a send in the background, until the engine confirms it or the
+// lease has ended. It is not retried while the engine rests. Refused reservations are released
+// too: an order without an answer may have been carried out.
 func (f *fleet) release(w *work) {
 	if w.stopRenewing != nil {
 		w.stopRenewing()
 	}
-	until := time.Now().Add(holdFor)
+	until := time.Now().Add(leaseDuration)
 	for _, r := range w.memory {
 		go func() {
 			if f.order(context.Background(), r, true) == nil {
 				return
 			}
-			for time.Now().Before(until) && clock.Pause(context.Background(), releasePause) {
-				if !f.rests(r.node) && f.order(context.Background(), r, true) == nil {
+			for time.Now().Before(until) && clock.Pause(context.Background(), releaseRetryInterval) {
+				if !f.isResting(r.node) && f.order(context.Background(), r, true) == nil {
 					return
 				}
 			}
@@ -96,12 +96,12 @@
 	}
 }
 
-// order sends one order and reports whether it was carried out.
+// order sends one order and returns an error if it was not carried out.
 func (f *fleet) order(ctx context.Context, r *reservation, release bool) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	head, body, err := f.options.Dialect.OrderMessage(r.node.address, &Order{
-		Reservation: r.name, Tokens: r.tokens, Hold: holdFor, Release: release,
+		Reservation: r.name, Tokens: r.tokens, Hold: leaseDuration, Release: release,
 	})
 	if err != nil {
 		return err
@@ -116,15 +116,15 @@
 	return nil
 }
 
-// roundTrip sends a small message to a node, on a fresh connection if it is asked
-// for, and returns the status and the body of the answer.
+// roundTrip sends a small request to a node, on a new connection if fresh is set, and returns
+// the status and the body of the answer.
 func (f *fleet) roundTrip(ctx context.Context, n *node, head *httpwire.RequestHead, body []byte, fresh bool) (int, []byte, error) {
 	conn, err := f.connect(ctx, n, fresh)
 	if err != nil {
 		return 0, nil, err
 	}
 	deadline, _ := ctx.Deadline()
-	conn.patient.deadline, conn.patient.there = deadline, nil
+	conn.liveness.deadline, conn.liveness.reachable = deadline, nil
 	if err := conn.conn.SetWriteDeadline(deadline); err != nil {
 		conn.close()
 		return 0, nil, err
@@ -146,7 +146,7 @@
 		return 0, nil, err
 	}
 	decoded := f.options.Dialect.DecodeAnswer(answer)
-	f.noteAnswer(n, &decoded)
+	f.applyStatements(n, &decoded)
 	if answer.Close || conn.reader.Buffered() > 0 {
 		conn.close()
 	} else {
--- a/forward/resting.go
+++ b/forward/resting.go
@@ -7,77 +7,78 @@
 	"celeryport/verdict"
 )
 
-// closedEngines lists the engines that must not get the call.
-func (x *exchange) closedEngines(now time.Time) []loadshare.Key {
+// excludedEngines lists the engines that must not get the call.
+func (x *exchange) excludedEngines(now time.Time) []loadshare.Key {
 	f, last := x.server.fleet, x.isLastSend(now)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var keys []loadshare.Key
 	for _, n := range f.nodes {
-		if n.service != x.service.Name || n.replaced || len(keys) == mostClosedKeys {
+		if n.service != x.service.Name || n.replaced || len(keys) == maxExcludedKeys {
 			continue
 		}
-		if n.closed(now) || last && n.awaitsTrial(now) {
+		if n.blocked(now) || last && n.needsProbe(now) {
 			keys = append(keys, n.key)
 		}
 	}
 	return keys
 }
 
-// mostClosedKeys keeps an ask small enough for one packet. Engines beyond it are refused when the
-// answer names them.
-const mostClosedKeys = 40
+// maxExcludedKeys keeps an ask small enough for one datagram. Engines beyond the limit are
+// rejected when the arbiter's answer names them.
+const maxExcludedKeys = 40
 
-// isLastSend reports whether the call will not be sent again if its next send is rejected. Such a
-// call must not be the one that finds out whether an upstream accepts requests again.
+// isLastSend reports whether the call will not be sent again if its next send is rejected. Such
+// a call must not be used to probe whether an upstream accepts requests again.
 func (x *exchange) isLastSend(now time.Time) bool {
-	return x.sends-x.ended-x.rejections+1 >= x.route.MaxSends || !x.server.budgets.open(now, x.service.Name)
+	return x.sends-x.misdirected-x.rejections+1 >= x.route.MaxSends || !x.server.budgets.allowsRepeat(now, x.service.Name)
 }
 
-// restOf sums up the nodes of a service of which some rest.
-type restOf struct {
-	resting int       // nodes that get no request now
-	soonest time.Time // when the first of them may
-	open    int       // nodes that may get the call
-	sure    int       // of these, nodes of which nothing says that they would reject it
+// restSummary describes the nodes of a service while some of them rest.
+type restSummary struct {
+	resting   int       // nodes that must get no request now
+	soonest   time.Time // when the first of these accepts requests again
+	available int       // nodes that may get the call
+	likely    int       // of these, nodes that are not expected to reject it
 }
 
-// inVain reports whether a call that waits for a node would probably be rejected by it.
-func (r *restOf) inVain() bool { return r.resting > 0 && r.sure == 0 }
+// allLikelyReject reports whether some nodes rest and every other one is likely to reject the
+// call, so that waiting for a node is useless.
+func (r *restSummary) allLikelyReject() bool { return r.resting > 0 && r.likely == 0 }
 
-// leaveOut takes the nodes that get no request now out of some candidates, and sums up what is
-// left. The lock of the fleet must be held.
-func (x *exchange) leaveOut(now time.Time, lists ...*candidates) restOf {
-	var rest restOf
+// excludeBlocked removes the nodes that must get no request now from the candidates and
+// summarises the rest periods. The lock of the fleet must be held.
+func (x *exchange) excludeBlocked(now time.Time, lists ...*candidates) restSummary {
+	var rest restSummary
 	for _, c := range lists {
 		c.remove(func(n *node) bool {
-			if !n.closed(now) {
+			if !n.blocked(now) {
 				return false
 			}
 			rest.add(n.rest.Until())
 			return true
 		})
-		rest.open += len(c.nodes)
+		rest.available += len(c.nodes)
 		for i, n := range c.nodes {
-			rejects := c.engines[i].Avoid && c.engines[i].Load.Failing >= suspicionsEnough
+			rejects := c.engines[i].Avoid && c.engines[i].Load.Failing >= suspicionQuorum
 			if !n.rest.Unsure(now) && !rejects {
-				rest.sure++
+				rest.likely++
 			}
 		}
 	}
 	if x.isLastSend(now) {
-		spareLastSend(now, rest.open, lists)
+		protectLastSend(now, rest.available, lists)
 	}
 	return rest
 }
 
-// spareLastSend takes nodes that are to be tried out of some candidates as long as there are
-// others, and has nodes avoided that failed a call of any instance of late. The lock of the fleet
-// must be held.
-func spareLastSend(now time.Time, left int, lists []*candidates) {
+// protectLastSend removes nodes that still need a probe as long as other nodes are left, and
+// marks nodes that recently failed a call of any instance as to be avoided. The lock of the
+// fleet must be held.
+func protectLastSend(now time.Time, left int, lists []*candidates) {
 	for _, c := range lists {
 		c.remove(func(n *node) bool {
-			if left == 1 || !n.awaitsTrial(now) {
+			if left == 1 || !n.needsProbe(now) {
 				return false
 			}
 			left--
@@ -89,29 +90,29 @@
 	}
 }
 
-func (r *restOf) add(until time.Time) {
+func (r *restSummary) add(until time.Time) {
 	if r.resting == 0 || until.Before(r.soonest) {
 		r.soonest = until
 	}
 	r.resting++
 }
 
-// restOfAll sums up the upstreams of the call's service.
-func (x *exchange) restOfAll(now time.Time) restOf {
+// summariseRest summarises the rest periods of the upstreams of the call's service.
+func (x *exchange) summariseRest(now time.Time) restSummary {
 	f := x.server.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.owesRest(now, x.service.Name) {
-		return restOf{}
+	if !f.hasResting(now, x.service.Name) {
+		return restSummary{}
 	}
-	free, open, _ := f.candidates(now, x.server.options.Plane.View().Upstreams, x.service.Name)
-	return x.leaveOut(now, free, open)
+	unlimited, withRoom, _ := f.candidates(now, x.server.options.Plane.View().Upstreams, x.service.Name)
+	return x.excludeBlocked(now, unlimited, withRoom)
 }
 
-// refuseResting is the refusal of a call while all upstreams rest. Its caller comes back when the
-// first of them takes requests again.
-func (x *exchange) refuseResting(now time.Time, rest restOf) error {
+// refuseResting refuses a call while all upstreams rest. Its Retry-After is the time until the
+// first of them accepts requests again.
+func (x *exchange) refuseResting(now time.Time, rest restSummary) error {
 	wait := max(0, rest.soonest.Sub(now))
-	return verdict.Refuse(verdict.ReasonNoUpstream, x.comeBack(x.deadline.Sub(now), wait),
+	return verdict.Refuse(verdict.ReasonNoUpstream, x.retryAfter(x.deadline.Sub(now), wait),
 		"all %d upstreams of %s that could take the call have asked for rest, the first for %s more", rest.resting, x.service.Name, wait.Round(time.Millisecond))
 }
--- a/forward/send.go
+++ b/forward/send.go
@@ -13,63 +13,62 @@
 	"celeryport/verdict"
 )
 
-// outcome says what came of one send. Without an error the caller has the whole
-// answer.
+// outcome is the result of one send. If err is nil, the caller has received the whole answer.
 type outcome struct {
-	verdict verdict.Verdict
-	err     error
-	reached bool  // bytes of the call may have reached the upstream
-	phase   phase // how far the send had come
-	kind    sendKind
-	checked <-chan struct{} // closed when it is known whether the upstream ended, where that decides on a repeat; else nil
-	held    *heldAnswer     // a whole answer of the upstream that is a failure
+	verdict    verdict.Verdict
+	err        error
+	reached    bool  // bytes of the call may have reached the upstream
+	phase      phase // progress of the send
+	kind       sendKind
+	checked    <-chan struct{} // closed when it is known whether the upstream ended; nil unless a repeat depends on that
+	ownFailure *failureAnswer  // a complete failure answer of the upstream
 
-	elsewhere bool  // another engine than the one that the call was sent to is at fault
-	helper    *node // that one, if it is known
+	otherAtFault bool  // an engine other than the one that received the call is at fault
+	helper       *node // the engine at fault, if known
 }
 
-// heldAnswer is an upstream's failure that the caller gets if no other send does
-// better.
-type heldAnswer struct {
+// heldAnswer is a failure answer of an upstream. It is forwarded to the caller if no other send
+// succeeds.
+type failureAnswer struct {
 	status int
 	reason string
 	fields httpwire.Fields
 	body   []byte
 }
 
-// The ways in which a send fails.
+// Errors of a failed send.
 var (
-	errSilent     = errors.New("the upstream sends nothing and takes no connection")
-	errNotRun     = errors.New("the upstream rejected the call")
-	errElsewhere  = errors.New("another incarnation answers at the address")
-	errNotGenuine = errors.New("the answer is not one of an upstream that ran the call")
-	errStray      = errors.New("the upstream sent answers of other calls")
-	errOwnFailure = errors.New("the upstream answered with a failure")
-	errOrder      = errors.New("the events of the answer do not follow each other")
+	errSilent           = errors.New("the upstream sends nothing and takes no connection")
+	errNotRun           = errors.New("the upstream rejected the call")
+	errWrongIncarnation = errors.New("another incarnation answers at the address")
+	errNotGenuine       = errors.New("the answer is not one of an upstream that ran the call")
+	errStray            = errors.New("the upstream sent answers of other calls")
+	errOwnFailure       = errors.New("the upstream answered with a failure")
+	errEventOrder       = errors.New("the events of the answer do not follow each other")
 )
 
-// sending is one send under way.
+// sending is the state of one send in flight.
 type sending struct {
 	x      *exchange
 	node   *node
 	conn   *upstreamConn
 	work   *work
 	sent   chan error // result of writing the call
-	begun  bool       // the first event came
+	begun  bool       // the first event has arrived
 	phase  phase
 	sentAt time.Time
-	headAt time.Time // when the head of the answer came
+	headAt time.Time // when the head of the answer arrived
 	clean  bool      // the connection can carry another call
 	idle   time.Duration
 }
 
-// send sends the call to a node and hands the answer to the caller.
+// send sends the call to a node and forwards the answer to the caller.
 func (x *exchange) send(ctx context.Context, w *work) *outcome {
 	fleet, n := x.server.fleet, w.lead
 	defer fleet.end(w)
 	if len(w.memory) > 0 {
 		if helper, err := fleet.reserve(ctx, w); err != nil {
-			return &outcome{verdict: verdict.NotRun, err: err, elsewhere: true, helper: helper}
+			return &outcome{verdict: verdict.NotRun, err: err, otherAtFault: true, helper: helper}
 		}
 		defer fleet.release(w)
 	}
@@ -80,26 +79,26 @@
 		}
 		return &outcome{verdict: verdict.NotRun, err: err}
 	}
-	if at, why := fleet.withdrawn(w); at != nil {
+	if unavailable, cause := fleet.unavailableNode(w); unavailable != nil {
 		conn.close()
-		x.server.options.Metrics.withdrew(x.service.Name, kindOf(w, x.sends))
-		return withdrawnOutcome(w, at, why)
+		x.server.options.Metrics.sendWithdrawn(x.service.Name, kindOf(w, x.sends))
+		return unavailableOutcome(w, unavailable, cause)
 	}
 	x.sends++
 	s := &sending{x: x, node: n, conn: conn, work: w}
-	stop := context.AfterFunc(ctx, conn.close)
+	stopWatch := context.AfterFunc(ctx, conn.close)
 	fleet.occupy(n, conn)
 	result := s.exchange(ctx)
 	result.phase = s.phase
 	fleet.vacate(n, conn)
 	if ctx.Err() == nil && endedByPeer(result.err) {
-		x.server.options.Metrics.brokeOff(x.service.Name, s.phase)
-		broken := brokenSend{request: x.fingerprint, phase: s.phase, ran: s.ran(), whole: !x.route.Stream, silent: errors.Is(result.err, errSilent)}
-		if checked := fleet.brokeOff(n, broken); broken.mayBeCause() {
+		x.server.options.Metrics.sendBroken(x.service.Name, s.phase)
+		broken := brokenSend{request: x.fingerprint, phase: s.phase, runTime: s.runTime(), whole: !x.route.Stream, silent: errors.Is(result.err, errSilent)}
+		if checked := fleet.recordBroken(n, broken); broken.mayBeCause() {
 			result.checked = checked
 		}
 	}
-	if !stop() || !s.clean {
+	if !stopWatch() || !s.clean {
 		conn.close()
 	} else {
 		fleet.keep(n, conn, s.idle)
@@ -110,17 +109,18 @@
 	return result
 }
 
-// withdrawnOutcome is that of a send of which an engine came to want nothing more before it was
-// sent.
-func withdrawnOutcome(w *work, at *node, why error) *outcome {
-	if at == w.lead {
-		return &outcome{verdict: verdict.NotRun, err: why}
+// unavailableOutcome returns the outcome of a send that was cancelled because one of its engines
+// became unavailable.
+func unavailableOutcome(w *work, unavailable *node, cause error) *outcome {
+	if unavailable == w.lead {
+		return &outcome{verdict: verdict.NotRun, err: cause}
 	}
-	return &outcome{verdict: verdict.NotRun, err: errors.Wrapf(why, "the helper at %s", at.address), elsewhere: true}
+	return &outcome{verdict: verdict.NotRun, err: errors.Wrapf(cause, "the helper at %s", unavailable.address), otherAtFault: true}
 }
 
-// ran returns how long ago the upstream was seen to begin with the call; 0 if it was not.
-func (s *sending) ran() time.Duration {
+// runTime returns the time since the head of the answer arrived, which shows that the upstream
+// is running the call; 0 if none has arrived.
+func (s *sending) runTime() time.Duration {
 	if s.headAt.IsZero() {
 		return 0
 	}
@@ -130,38 +130,38 @@
 // exchange writes the call and reads the answer.
 func (s *sending) exchange(ctx context.Context) *outcome {
 	x := s.x
-	s.conn.patient.deadline = x.deadline
-	s.conn.patient.silence = x.patience()
+	s.conn.liveness.deadline = x.deadline
+	s.conn.liveness.silence = x.silenceTimeout()
 	s.sentAt = time.Now()
-	s.conn.patient.there = func() bool { return !s.hung() && x.server.fleet.there(ctx, s.node) }
+	s.conn.liveness.reachable = func() bool { return !s.hung() && x.server.fleet.reachable(ctx, s.node) }
 	s.write()
 	head, answer, err := s.readHead()
 	if err != nil {
-		return s.failed(err)
+		return s.brokenOutcome(err)
 	}
 	s.phase, s.headAt = phaseStarted, time.Now()
 	if head.Status >= http.StatusOK && head.Status < http.StatusMultipleChoices {
-		return s.success(head, answer)
+		return s.handleSuccess(head, answer)
 	}
-	return s.rejection(head, answer)
+	return s.handleRejection(head, answer)
 }
 
-// hung reports whether the upstream should have begun to answer long ago, although
-// it may still take connections. It is reported as failing; a call that may run again
-// goes elsewhere, any other waits on.
+// hung reports whether the upstream should have begun its answer long ago, although it may still
+// accept connections. The upstream is recorded as failing; a call that may run again is sent to
+// another one, any other call keeps waiting.
 func (s *sending) hung() bool {
 	x := s.x
-	if s.begun || time.Since(s.sentAt) < x.overdue() {
+	if s.begun || time.Since(s.sentAt) < x.hangTimeout() {
 		return false
 	}
-	x.server.fleet.failing(s.node)
+	x.server.fleet.recordFailure(s.node)
 	return x.route.Repeat != settings.Never
 }
 
-// largeBody is the size from which on a call is written beside the reading: the
-// upstream may answer before it has read all of it, and a pipe that is full in
-// both directions would stand still.
-const largeBody = 32 << 10
+// asyncWriteSize is the message size from which a call is written concurrently with reading the
+// answer: the upstream may answer before it has read the whole call, and a connection whose
+// buffers are full in both directions would deadlock.
+const asyncWriteSize = 32 << 10
 
 // write sends the call.
 func (s *sending) write() {
@@ -186,14 +186,14 @@
 		}
 		s.sent <- err
 	}
-	if len(message) > largeBody {
+	if len(message) > asyncWriteSize {
 		go send()
 		return
 	}
 	send()
 }
 
-// written reports whether the whole call was written; it does not wait for long.
+// written reports without blocking whether the whole call has been written.
 func (s *sending) written() bool {
 	select {
 	case err := <-s.sent:
@@ -204,21 +204,21 @@
 	}
 }
 
-// strayAnswers is how many answers of other calls are passed over before one's
-// own. An upstream may send an answer twice, the second time late.
-const strayAnswers = 3
+// maxStrayAnswers bounds how many answers of other calls are skipped before this call's answer.
+// An upstream may send an answer twice, the second time late.
+const maxStrayAnswers = 3
 
 // readHead reads the head of this call's answer.
 func (s *sending) readHead() (*httpwire.ResponseHead, Answer, error) {
-	for range strayAnswers {
+	for range maxStrayAnswers {
 		head, err := httpwire.ReadResponseHead(s.conn.reader, defaultHeaderBytes, s.x.call.Method)
 		if err != nil {
 			return nil, Answer{}, err
 		}
 		answer := s.x.server.options.Dialect.DecodeAnswer(head)
-		s.x.server.fleet.noteAnswer(s.node, &answer)
+		s.x.server.fleet.applyStatements(s.node, &answer)
 		if answer.CallID == s.x.call.ID || answer.CallID == "" && (answer.NotRun || answer.Elsewhere) {
-			s.x.server.fleet.noteAccepted(s.node, &answer, s.sentAt)
+			s.x.server.fleet.recordAccepted(s.node, &answer, s.sentAt)
 			return head, answer, nil
 		}
 		if _, err := io.Copy(io.Discard, httpwire.NewBody(s.conn.reader, head.Body)); err != nil {
@@ -228,66 +228,66 @@
 	return nil, Answer{}, errStray
 }
 
-// failed classifies a broken send.
-func (s *sending) failed(err error) *outcome {
+// brokenOutcome returns the outcome of a send that failed while its answer was read.
+func (s *sending) brokenOutcome(err error) *outcome {
 	if errors.Is(err, errSilent) {
 		return &outcome{verdict: verdict.MayHaveRun, err: err, reached: true}
 	}
 	return &outcome{verdict: verdict.MayHaveRun, err: errors.Wrap(err, "read the answer"), reached: true}
 }
 
-// rejection handles an answer that is no success.
-func (s *sending) rejection(head *httpwire.ResponseHead, answer Answer) *outcome {
+// handleRejection handles an answer whose status is not a success.
+func (s *sending) handleRejection(head *httpwire.ResponseHead, answer Answer) *outcome {
 	body, err := s.readAll(head)
 	if err == nil {
 		s.finish(head, answer)
 	}
 	switch {
 	case answer.Elsewhere:
-		s.x.server.fleet.misdirected(s.node)
-		return &outcome{verdict: verdict.NotRun, err: errElsewhere, reached: true}
+		s.x.server.fleet.recordReplaced(s.node)
+		return &outcome{verdict: verdict.NotRun, err: errWrongIncarnation, reached: true}
 	case answer.NotRun && answer.AtFault != "" && answer.AtFault != s.node.address:
 		helper := s.work.helperAt(answer.AtFault)
 		if helper != nil {
-			s.x.server.fleet.refusedHelp(helper)
+			s.x.server.fleet.recordHelpRefusal(helper)
 		}
 		return &outcome{
 			verdict: verdict.NotRun, err: errors.Wrapf(errNotRun, "for want of the helper at %s", answer.AtFault),
-			reached: true, elsewhere: true, helper: helper,
+			reached: true, otherAtFault: true, helper: helper,
 		}
 	case answer.NotRun:
 		return &outcome{verdict: verdict.NotRun, err: errors.Wrapf(errNotRun, "status %d", head.Status), reached: true}
 	case err != nil:
-		return s.failed(err)
+		return s.brokenOutcome(err)
 	}
 	if s.x.service.Engine != nil {
-		s.x.server.fleet.failing(s.node)
+		s.x.server.fleet.recordFailure(s.node)
 	} else {
-		s.x.server.fleet.answered(s.node)
+		s.x.server.fleet.recordAnswer(s.node)
 	}
 	o := &outcome{verdict: verdict.Ran, err: errors.Wrapf(errOwnFailure, "status %d", head.Status), reached: true}
 	if answer.Genuine && !promisesNotRun(head.Status) && !answer.Encoded {
-		o.held = &heldAnswer{status: head.Status, reason: head.Reason, fields: head.Fields.EndToEnd(), body: body}
+		o.ownFailure = &failureAnswer{status: head.Status, reason: head.Reason, fields: head.Fields.EndToEnd(), body: body}
 	}
 	return o
 }
 
-// maxHeldBytes bounds an answer that is read whole before the caller gets it.
-const maxHeldBytes = 8 << 20
+// maxHeldBytes bounds an answer that is read completely before it is forwarded.
+const maxWholeAnswerBytes = 8 << 20
 
 func (s *sending) readAll(head *httpwire.ResponseHead) ([]byte, error) {
-	return httpwire.NewBody(s.conn.reader, head.Body).ReadAll(maxHeldBytes)
+	return httpwire.NewBody(s.conn.reader, head.Body).ReadAll(maxWholeAnswerBytes)
 }
 
-// finish decides whether the connection can carry another call: only when the
-// call was written whole and nothing follows the answer.
+// finish determines whether the connection can carry another call: only if the call was written
+// completely and no data follows the answer.
 func (s *sending) finish(head *httpwire.ResponseHead, answer Answer) {
 	s.idle = answer.IdleFor
 	s.clean = !head.Close && s.written() && s.conn.reader.Buffered() == 0
 }
 
-// success hands a success to the caller.
-func (s *sending) success(head *httpwire.ResponseHead, answer Answer) *outcome {
+// handleSuccess forwards a successful answer to the caller.
+func (s *sending) handleSuccess(head *httpwire.ResponseHead, answer Answer) *outcome {
 	if !answer.Genuine || answer.Encoded {
 		return &outcome{verdict: verdict.MayHaveRun, err: errNotGenuine, reached: true}
 	}
@@ -296,11 +296,11 @@
 	}
 	body, err := s.readAll(head)
 	if err != nil {
-		return s.failed(err)
+		return s.brokenOutcome(err)
 	}
 	s.finish(head, answer)
 	x := s.x
-	x.server.fleet.answered(s.node)
+	x.server.fleet.recordAnswer(s.node)
 	x.firstAt = time.Now()
 	x.writer.whole(&httpwire.ResponseHead{Status: head.Status, Reason: head.Reason, Fields: head.Fields.EndToEnd()}, body)
 	x.server.options.Metrics.sent(x.service.Name, verdict.Ran.String())
--- a/forward/send_kind.go
+++ b/forward/send_kind.go
@@ -1,18 +1,18 @@
 package forward
 
-// sendKind is the way by which a send got its upstream.
+// sendKind is the way in which the upstream of a send was chosen.
 type sendKind uint8
 
 const (
-	// firstSend: the first of a call, placed by this instance.
+	// firstSend is the first send of a call, placed by this instance.
 	firstSend sendKind = iota
-	// repeatedSend: after a send that failed, or the rest of a stream that broke off.
+	// repeatedSend follows a failed send, or fetches the rest of an interrupted stream.
 	repeatedSend
-	// grantedSend: the instance that places the long prompts of all chose the upstream.
+	// grantedSend goes to an upstream chosen by the arbiter of the service.
 	grantedSend
 )
 
-// kindOf returns the kind of a send after others of the same call.
+// kindOf returns the kind of a send that follows the given number of sends of the same call.
 func kindOf(w *work, before int) sendKind {
 	switch {
 	case w.granted:
@@ -24,7 +24,7 @@
 	}
 }
 
-// String returns the form of logs and metrics.
+// String returns the name used in logs and metrics.
 func (k sendKind) String() string {
 	switch k {
 	case grantedSend:
--- /dev/null
+++ b/forward/send_timeouts.go
@@ -0,0 +1,47 @@
+package forward
+
+import (
+	"time"
+
+	"celeryport/placement"
+)
+
+const (
+	// minSilenceTimeout is the shortest time without data from an engine after which it is
+	// checked whether it is still reachable.
+	minSilenceTimeout = 600 * time.Millisecond
+	// serviceSilenceTimeout is the same time for a plain service, whose calls take some tens of
+	// milliseconds.
+	serviceSilenceTimeout = 200 * time.Millisecond
+)
+
+// silenceTimeout returns the time without data from the upstream after which it is checked
+// whether the upstream is still reachable.
+func (x *exchange) silenceTimeout() time.Duration {
+	if x.service.Engine == nil {
+		return serviceSilenceTimeout
+	}
+	return max(minSilenceTimeout, x.predicted+x.predicted/2)
+}
+
+const (
+	// hangFactor times the predicted time of the first event is how late an answer may begin
+	// before the upstream counts as hung. Predictions are accurate to within 0.1 s except for
+	// slow engines.
+	hangFactor = 3
+	// fullWaitFactor times the wait at an engine whose slots are all taken is the lower bound of
+	// that time: the answers in the slots may be longer than usual.
+	fullWaitFactor = 2
+	// serviceHangTimeout is that time at a plain service, where an answer begins after two or
+	// three others of some tens of milliseconds.
+	serviceHangTimeout = 300 * time.Millisecond
+)
+
+// hangTimeout returns how long an upstream may take to begin its answer before it counts as
+// hung.
+func (x *exchange) hangTimeout() time.Duration {
+	if x.service.Engine == nil {
+		return serviceHangTimeout
+	}
+	return max(fullWaitFactor*placement.FullWait(x.service.Engine), hangFactor*x.predicted)
+}
--- a/forward/patience_test.go
+++ b/forward/send_timeouts_test.go
@@ -7,9 +7,9 @@
 	"celeryport/settings"
 )
 
-// Engines that are three times as slow begin an answer behind a whole other one after
-// four seconds and more. Taken for hung after a fixed time, sound engines are reported as
-// failing, and their calls run again elsewhere, when the fleet is fullest.
+// Engines that are three times as slow as usual begin an answer only after four seconds or more
+// when a whole other answer precedes it. With a fixed time limit, working engines would count as
+// hung and their calls would run again elsewhere just when the fleet is fullest.
 func TestSlowEnginesAreNotTakenForHung(t *testing.T) {
 	usual := settings.EngineProfile{Slots: 16, Stride: 34, Step: 1310 * time.Microsecond, UsualAnswer: 1300}
 	slow := usual
@@ -17,8 +17,8 @@
 	for _, p := range []*settings.EngineProfile{&usual, &slow} {
 		x := &exchange{service: &settings.ForwardedService{Engine: p}}
 		answer := time.Duration(p.UsualAnswer) * p.Step
-		if got := x.overdue(); got < answer*3/2 || got > 3*answer {
-			t.Errorf("an answer is overdue after %s, a usual one takes %s", got, answer)
+		if got := x.hangTimeout(); got < answer*3/2 || got > 3*answer {
+			t.Errorf("an upstream counts as hung after %s, a usual answer takes %s", got, answer)
 		}
 	}
 }
--- a/forward/server.go
+++ b/forward/server.go
@@ -13,16 +13,16 @@
 	"celeryport/event"
 )
 
-// Server takes callers' connections.
+// Server accepts callers' connections and forwards their calls.
 type Server struct {
 	options     Options
 	fleet       *fleet
 	budgets     *budgets
 	arbitration *arbitration
-	draining    atomic.Pointer[drainState] // nil: it takes calls
+	draining    atomic.Pointer[drainState] // nil: calls are accepted
 	inFlight    atomic.Int64
 	startedAt   time.Time
-	lastCall    atomic.Int64 // when the newest call came, Unix nanoseconds
+	lastCall    atomic.Int64 // when the latest call arrived, in Unix nanoseconds
 
 	mu       sync.Mutex
 	random   *rand.Rand
@@ -43,12 +43,12 @@
 		conns:     map[*callerConn]struct{}{},
 	}
 	s.budgets = newBudgets(options.Budget, s.instances)
-	s.fleet = newFleet(&s.options, s.budgets.arrival)
+	s.fleet = newFleet(&s.options, s.budgets.callRate)
 	s.arbitration = newArbitration()
 	return s
 }
 
-// Serve takes connections until the listener closes.
+// Serve accepts connections until the listener closes.
 func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
 	s.listener = listener
@@ -67,8 +67,8 @@
 	}
 }
 
-// acceptPause keeps a process that has run out of descriptors from spinning until
-// others are closed.
+// acceptPause keeps a process that has no file descriptors left from spinning until some are
+// closed.
 const acceptPause = 10 * time.Millisecond
 
 func (s *Server) serveConn(conn net.Conn) {
@@ -86,31 +86,31 @@
 	})
 }
 
-// Ready reports whether callers should come here: the settings are known and the
-// instance does not leave.
+// Ready reports whether callers should use this instance: the settings are known and the
+// instance is not draining.
 func (s *Server) Ready() bool {
 	view := s.options.Plane.View()
 	return s.draining.Load() == nil && view != nil && view.Tree != nil
 }
 
-// DrainPlan says how a server ends its service.
+// DrainPlan sets the time limits of a drain.
 type DrainPlan struct {
-	Least   time.Duration // callers may come for so long with a list of addresses that they just got
-	Quiet   time.Duration // it ends when no call came for so long
-	Streams time.Duration // streams are taken for so long
-	Calls   time.Duration // other calls are taken for so long
+	Least   time.Duration // minimum duration: callers may still use a list of addresses that they just received
+	Quiet   time.Duration // the drain ends when no call has arrived for this time
+	Streams time.Duration // streams are accepted for this time
+	Calls   time.Duration // other calls are accepted for this time
 }
 
-// drainState is a drain under way.
+// drainState is a drain in progress.
 type drainState struct {
 	began time.Time
 	plan  DrainPlan
 }
 
-// Drain ends the service without cutting any call: new calls are still served,
-// and their connections closed after the answer, until none came for a while and
-// none is under way, or until ctx ends. What can't be finished any more by then is
-// refused, which sends its caller elsewhere at once.
+// Drain ends the service without interrupting any call: new calls are still served, and their
+// connections closed after the answer, until no call has arrived for a while and none is in
+// flight, or until ctx ends. Calls that could not be finished in time are refused, so that their
+// callers switch to another instance at once.
 func (s *Server) Drain(ctx context.Context, plan DrainPlan) {
 	began := time.Now()
 	s.draining.Store(&drainState{began: began, plan: plan})
@@ -130,8 +130,8 @@
 	}
 }
 
-// takes reports whether a call that begins now can still be finished.
-func (s *Server) takes(now time.Time, stream bool) bool {
+// accepts reports whether a call that begins now can still be finished.
+func (s *Server) accepts(now time.Time, stream bool) bool {
 	d := s.draining.Load()
 	if d == nil {
 		return true
@@ -143,17 +143,17 @@
 	return now.Sub(d.began) < limit
 }
 
-// drainTick is how often a draining server looks whether it may end.
+// drainTick is how often a draining server checks whether it may end.
 const drainTick = 50 * time.Millisecond
 
-// Close ends the listener and all connections.
+// Close closes the listener and all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	if s.listener != nil {
-		_ = s.listener.Close() // it may be closed already
+		_ = s.listener.Close() // the listener may be closed already
 	}
 	for c := range s.conns {
-		_ = c.conn.Close() // nothing is under way on it that could still be saved
+		_ = c.conn.Close() // calls still in flight at this point are aborted
 	}
 	s.mu.Unlock()
 	s.handlers.Wait()
@@ -167,7 +167,7 @@
 	return s.random.Float64()
 }
 
-// instances returns how many instances take callers, this one included.
+// instances returns how many instances accept calls, at least 1.
 func (s *Server) instances() int {
 	view := s.options.Plane.View()
 	count := 0
--- a/forward/skew_test.go
+++ b/forward/stale_arbiter_test.go
@@ -14,16 +14,16 @@
 	"celeryport/upstream"
 )
 
-// arbiterStandIn answers asks like an arbiter that has not heard yet that an engine
-// leaves: it gives that one away until an ask bars it.
-type arbiterStandIn struct {
+// staleArbiter is a connection that answers asks like an arbiter that does not know yet that an
+// engine is leaving: it assigns that engine until an ask excludes it.
+type staleArbiter struct {
 	net.PacketConn
 	server           *Server
 	leaving, staying loadshare.Key
 	asks             int
 }
 
-func (a *arbiterStandIn) WriteTo(data []byte, _ net.Addr) (int, error) {
+func (a *staleArbiter) WriteTo(data []byte, _ net.Addr) (int, error) {
 	kind, content, err := datagram.Open("key", data)
 	if err != nil || kind != datagram.Ask {
 		return len(data), err
@@ -37,15 +37,15 @@
 	if slices.Contains(ask.Tried, a.leaving) {
 		answer.Lead = a.staying
 	}
-	go a.server.takeAnswer(answer)
+	go a.server.handleAnswer(answer)
 	return len(data), nil
 }
 
 func TestArbiterIsAskedAgainWhenAnEngineMayNotBeUsed(t *testing.T) {
-	// Engines are replaced, and the arbiter hears a moment later than this instance that
-	// one leaves. If the instance then placed its long prompts by itself, it would give
-	// parts to engines that the arbiter gives to others: their callers waited four seconds
-	// for a first event that was promised after a third of a second.
+	// Engines are replaced, and the arbiter learns later than this instance that one is leaving.
+	// If the instance then placed its long prompts itself, it would assign parts to engines that
+	// the arbiter assigns to others: their callers waited four seconds for a first event that
+	// was predicted for a third of a second.
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, "front-1", "arbiter")
 		view := *s.options.Plane.View()
@@ -54,7 +54,7 @@
 		view.Upstreams = upstream.NewSnapshot(2, time.Now(), upstreams)
 		s.options.Plane = fixedPlane{view: &view}
 		s.fleet.mu.Lock()
-		standIn := &arbiterStandIn{server: s, leaving: s.fleet.node(&upstreams[0]).key, staying: s.fleet.node(&upstreams[1]).key}
+		standIn := &staleArbiter{server: s, leaving: s.fleet.node(&upstreams[0]).key, staying: s.fleet.node(&upstreams[1]).key}
 		s.fleet.mu.Unlock()
 		s.arbitration.conn = standIn
 		x := &exchange{
