--- a/forward/statements.go
+++ b/forward/statements.go
@@ -7,42 +7,42 @@
 	"celeryport/event"
 )
 
-// unreadLogPause is the least time between two log lines on statements of one upstream that
-// can't be read: each of its answers may have one.
-const unreadLogPause = 10 * time.Second
+// unparsableLogInterval is the least time between two log lines on unparsable statements of one
+// upstream, because each of its answers may have one.
+const unparsableLogInterval = 10 * time.Second
 
-// noteAnswer takes in what an answer says of its upstream beside the call.
-func (f *fleet) noteAnswer(n *node, a *Answer) {
+// applyStatements applies what an answer states about its upstream's condition.
+func (f *fleet) applyStatements(n *node, a *Answer) {
 	if a.Elsewhere {
-		return // another incarnation speaks of itself
+		return // the statements are those of another incarnation
 	}
-	f.noteRate(n, a)
+	f.recordRate(n, a)
 	if a.Rest > 0 {
-		f.noteRest(n, a.Rest)
+		f.recordRest(n, a.Rest)
 	}
 	if a.Leaving {
-		f.noteLeaving(n)
+		f.recordLeaving(n)
 	}
 	if len(a.Unread) > 0 {
-		f.noteUnread(n, a.Unread)
+		f.logUnparsable(n, a.Unread)
 	}
 }
 
-// noteRest notes that an upstream wants nothing from this instance for a time.
-func (f *fleet) noteRest(n *node, wanted time.Duration) {
+// recordRest records that an upstream wants no requests from this instance for a time.
+func (f *fleet) recordRest(n *node, wanted time.Duration) {
 	f.mu.Lock()
 	kept := n.rest.Asked(time.Now(), wanted, f.random.Float64())
 	f.mu.Unlock()
-	f.changed()
-	f.options.Metrics.askedForRest(n.service)
+	f.notifyChanged()
+	f.options.Metrics.restAsked(n.service)
 	eventRestAsked.Log(f.options.Log, event.Fields{
 		"upstream": n.name, "address": n.address, "wanted_ms": wanted.Milliseconds(), "for_ms": kept.Milliseconds(),
 	})
 }
 
-// noteAccepted notes that an upstream accepted a call that was sent at a time. An answer to a poll
-// would say nothing of that: it takes no slot.
-func (f *fleet) noteAccepted(n *node, a *Answer, sentAt time.Time) {
+// recordAccepted records that an upstream accepted a call that was sent at the given time.
+// Answers to polls are not recorded here: a poll takes no slot and shows nothing about calls.
+func (f *fleet) recordAccepted(n *node, a *Answer, sentAt time.Time) {
 	if a.Elsewhere || a.NotRun || a.Rest > 0 {
 		return
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-// noteLeaving notes that an upstream leaves.
-func (f *fleet) noteLeaving(n *node) {
+// recordLeaving records that an upstream is leaving.
+func (f *fleet) recordLeaving(n *node) {
 	f.mu.Lock()
 	first := n.leavingAt.IsZero()
 	if first {
@@ -63,21 +63,21 @@
 	}
 	f.mu.Unlock()
 	if first {
-		f.changed()
+		f.notifyChanged()
 		eventLeavingHeard.Log(f.options.Log, event.Fields{"upstream": n.name, "address": n.address})
 	}
 }
 
-// noteUnread logs statements of an upstream that can't be read.
-func (f *fleet) noteUnread(n *node, fields []string) {
+// logUnparsable logs unparsable statements of an upstream.
+func (f *fleet) logUnparsable(n *node, fields []string) {
 	now := time.Now()
 	f.mu.Lock()
-	due := now.Sub(n.unreadAt) >= unreadLogPause
+	due := now.Sub(n.unparsableLoggedAt) >= unparsableLogInterval
 	if due {
-		n.unreadAt = now
+		n.unparsableLoggedAt = now
 	}
 	f.mu.Unlock()
 	if due {
-		eventUnreadStatement.Log(f.options.Log, event.Fields{"upstream": n.name, "address": n.address, "fields": strings.Join(fields, "; ")})
+		eventUnparsableStatement.Log(f.options.Log, event.Fields{"upstream": n.name, "address": n.address, "fields": strings.Join(fields, "; ")})
 	}
 }
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -13,8 +13,8 @@
 // maxEventBytes bounds one event of a stream.
 const maxEventBytes = 1 << 20
 
-// stream hands the events of an answer to the caller as they come, whole events
-// only: when the upstream breaks off, another one can go on after the last.
+// stream forwards the events of an answer to the caller as they arrive. Only whole events are
+// forwarded, so that another upstream can resume after the last one when this upstream fails.
 func (s *sending) stream(head *httpwire.ResponseHead, answer Answer) *outcome {
 	body := httpwire.NewBody(s.conn.reader, head.Body)
 	events := httpwire.NewEventReader(body, maxEventBytes)
@@ -24,41 +24,41 @@
 			return s.streamEnded(head, answer)
 		}
 		if err != nil {
-			return s.failed(err)
+			return s.brokenOutcome(err)
 		}
-		if err := s.event(head, &e); err != nil {
+		if err := s.forwardEvent(head, &e); err != nil {
 			return &outcome{verdict: verdict.MayHaveRun, err: err, reached: true}
 		}
 	}
 }
 
-// event hands on one event, unless the caller has it already.
-func (s *sending) event(head *httpwire.ResponseHead, e *httpwire.Event) error {
+// event forwards one event, unless the caller has received it already.
+func (s *sending) forwardEvent(head *httpwire.ResponseHead, e *httpwire.Event) error {
 	x := s.x
 	if e.HasID && x.hasEvent {
 		if e.ID <= x.lastEvent {
 			return nil
 		}
 		if e.ID != x.lastEvent+1 {
-			return errOrder
+			return errEventOrder
 		}
 	}
 	if !x.writer.begun {
-		// The head waits for the first event: until then another upstream can still
-		// take the call as if nothing had happened.
+		// The head is written with the first event: until then another upstream can still answer
+		// the call without the caller noticing.
 		x.writer.begin(&httpwire.ResponseHead{Status: head.Status, Reason: head.Reason, Fields: head.Fields.EndToEnd()})
 	}
 	if !s.begun {
 		s.begun, s.phase = true, phaseAnswering
-		x.server.fleet.answering(s.work)
-		x.server.fleet.answered(s.node)
+		x.server.fleet.recordAnswering(s.work)
+		x.server.fleet.recordAnswer(s.node)
 	}
 	if x.firstAt.IsZero() {
 		x.firstAt = time.Now()
 	}
-	x.notePause()
+	x.recordPause()
 	if x.late() {
-		x.server.fleet.late(s.work)
+		x.server.fleet.recordLate(s.work)
 	}
 	x.writer.part(e.Raw)
 	x.events++
@@ -68,8 +68,8 @@
 	return x.writer.failure
 }
 
-// notePause keeps the longest pause between two events and when it began.
-func (x *exchange) notePause() {
+// recordPause updates the longest pause between two events and its start.
+func (x *exchange) recordPause() {
 	now := time.Now()
 	if pause := now.Sub(x.eventAt); x.events > 0 && pause > x.longestPause {
 		x.longestPause, x.pausedAt = pause, x.eventAt
@@ -77,7 +77,8 @@
 	x.eventAt = now
 }
 
-// late reports whether the answer can't be in time any more.
+// late reports whether the answer has already missed its objective or exceeded its longest
+// pause.
 func (x *exchange) late() bool {
 	if !x.firstAt.IsZero() && x.age+x.firstAt.Sub(x.began) > x.route.Objective {
 		return true
@@ -85,7 +86,7 @@
 	return x.route.LongPause > 0 && x.longestPause > x.route.LongPause
 }
 
-// longPause is the longest pause with which the rest of the answer is in time, 0 if
+// longPause returns the longest pause that the rest of the answer may have to be in time, 0 if
 // it is late already.
 func (x *exchange) longPause() time.Duration {
 	if x.late() {
@@ -94,7 +95,7 @@
 	return x.route.LongPause
 }
 
-// streamEnded ends the caller's answer as complete.
+// streamEnded completes the caller's answer.
 func (s *sending) streamEnded(head *httpwire.ResponseHead, answer Answer) *outcome {
 	x := s.x
 	if !x.writer.begun {
--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -10,13 +10,13 @@
 	"celeryport/verdict"
 )
 
-// answeredKept is how many requests that were answered last are remembered.
-const answeredKept = 4096
+// maxAnswered is how many fingerprints of recently answered requests are kept.
+const maxAnswered = 4096
 
-// ownLimits hold for the evidence of this instance alone. It rejects by it until control
-// has decided by the evidence of all, so that a request is not let through for as long as
-// there is no leader.
-var ownLimits = quarantine.Limits{
+// localLimits apply to the evidence of this instance alone. The instance rejects requests by it
+// until control has decided on the evidence of all instances; otherwise such requests would be
+// accepted for as long as there is no leader.
+var localLimits = quarantine.Limits{
 	Started:   quarantine.FleetLimits.Started,
 	Any:       quarantine.FleetLimits.Any,
 	Suspected: time.Minute,
@@ -24,39 +24,39 @@
 	Records:   64,
 }
 
-// suspects knows the requests that crash the upstreams which run them.
+// suspects tracks the requests that crash the upstreams which run them.
 type suspects struct {
 	options *Options
 
 	mu       sync.Mutex
-	own      quarantine.Book
-	taken    uint64 // position in own
+	local    quarantine.Book
+	position uint64 // position in local
 	answered *quarantine.Recent
 }
 
 func newSuspects(options *Options) *suspects {
-	return &suspects{options: options, answered: quarantine.NewRecent(answeredKept)}
+	return &suspects{options: options, answered: quarantine.NewRecent(maxAnswered)}
 }
 
-// view returns what control tells.
+// view returns the current view of control.
 func (s *suspects) view() *control.View { return s.options.Plane.View() }
 
-// rejects reports whether no upstream may get a request.
+// rejects reports whether a request must not be sent to any upstream.
 func (s *suspects) rejects(now time.Time, request quarantine.Fingerprint) bool {
 	if s.view().Quarantine.Contains(request) {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.own.Records) == 0 {
+	if len(s.local.Records) == 0 {
 		return false
 	}
-	s.own.Expire(now, s.taken, &ownLimits)
-	return s.own.Quarantined(request)
+	s.local.Expire(now, s.position, &localLimits)
+	return s.local.Quarantined(request)
 }
 
-// ended takes in that an upstream ended with a request.
-func (s *suspects) ended(now time.Time, n *node, request quarantine.Fingerprint, outcome quarantine.Outcome) {
+// recordEnd records that an upstream ended while it had a request.
+func (s *suspects) recordEnd(now time.Time, n *node, request quarantine.Fingerprint, outcome quarantine.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.answered.Contains(request) {
@@ -65,32 +65,32 @@
 	s.report(now, quarantine.Evidence{Request: request, Outcome: outcome, Upstream: uint64(n.key)})
 }
 
-// served takes in that a request was answered whole.
-func (s *suspects) served(now time.Time, request quarantine.Fingerprint) {
+// recordServed records that a request was answered completely.
+func (s *suspects) recordServed(now time.Time, request quarantine.Fingerprint) {
 	listed := s.view().Quarantine.Contains(request)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answered.Note(request)
-	if listed || s.own.Known(request) {
+	if listed || s.local.Known(request) {
 		s.report(now, quarantine.Evidence{Request: request, Outcome: quarantine.Answered})
 	}
 }
 
-// report counts evidence here and hands it to control. The lock must be held.
+// report counts evidence locally and reports it to control. The lock must be held.
 func (s *suspects) report(now time.Time, e quarantine.Evidence) {
-	s.taken++
-	s.own.Expire(now, s.taken, &ownLimits)
-	s.own.Take(now, s.taken, &ownLimits, []quarantine.Evidence{e})
+	s.position++
+	s.local.Expire(now, s.position, &localLimits)
+	s.local.Take(now, s.position, &localLimits, []quarantine.Evidence{e})
 	s.options.Plane.ReportEvidence(e)
 	eventEvidence.Log(s.options.Log, event.Fields{"request": e.Request.String(), "outcome": e.Outcome.String(), "upstream": e.Upstream})
 }
 
-// quarantineRetry is when to come back with a request that is quarantined. It is short against
-// the time for which that lasts: a request that only ran beside the cause of the crashes is
-// released when the cause is known.
+// quarantineRetry is the Retry-After of a quarantined request. It is short compared with the
+// duration of a quarantine: a request that merely ran at the same time as the cause of the
+// crashes is released when the cause is known.
 const quarantineRetry = 10 * time.Second
 
-// errQuarantined refuses a request that crashes the upstreams which run it.
+// errQuarantined returns the refusal of a request that crashes the upstreams which run it.
 func errQuarantined() error {
 	return verdict.Refuse(verdict.ReasonQuarantined, quarantineRetry,
 		"this request was not run: the upstreams that ran it before crashed")
--- a/forward/suspicion.go
+++ b/forward/suspicion.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// suspicion is how much a node has failed of late. A node that took no connection, or
-// fell silent, gets no new work for a while that doubles with each failure in a
-// row; then one call may try it again.
+// suspicion tracks recent failures of a node. A node that accepted no connection or stopped
+// responding gets no new work for a period that doubles with each consecutive failure;
+// afterwards one call may try it again.
 type suspicion struct {
-	failures int
-	until    time.Time
-	busy     time.Time // until when it is passed over for other reasons
+	failures    int
+	until       time.Time
+	pausedUntil time.Time // end of a pause that is unrelated to the node's health
 }
 
 const (
-	// firstSuspicion is above the time in which a crashed process is started again at
-	// the earliest, so that seldom more than one call meets it while it is down.
-	firstSuspicion = 500 * time.Millisecond
-	mostSuspicion  = 4 * time.Second
+	// minSuspicion is longer than the shortest restart of a crashed process, so that seldom more
+	// than one call reaches the node while it is down.
+	minSuspicion = 500 * time.Millisecond
+	maxSuspicion = 4 * time.Second
 )
 
-// raise notes a failure and returns how long the node gets no new work.
-func (d *suspicion) raise(now time.Time) time.Duration {
-	wait := min(mostSuspicion, firstSuspicion<<min(d.failures, doublings))
-	d.failures++
-	d.until = now.Add(wait)
+// raise records a failure and returns how long the node gets no new work.
+func (s *suspicion) raise(now time.Time) time.Duration {
+	wait := min(maxSuspicion, minSuspicion<<min(s.failures, maxDoublings))
+	s.failures++
+	s.until = now.Add(wait)
 	return wait
 }
 
-// pass keeps new work away until a time; it says nothing of the node's health.
-func (d *suspicion) pass(until time.Time) { d.busy = until }
+// pauseUntil keeps new work away until the given time. It does not affect the node's failure
+// count.
+func (s *suspicion) pauseUntil(until time.Time) { s.pausedUntil = until }
 
-// passPause is how long a node that refused to help, but is there, gets no work: some
-// passes of an engine, after each of which it may have read a part for another one.
-const passPause = 150 * time.Millisecond
+// helpRefusalPause is how long a node that refused to help, but is reachable, gets no work: some
+// passes of an engine, each of which may finish reading a part for another engine.
+const helpRefusalPause = 150 * time.Millisecond
 
-// doublings keeps the shift small; mostSuspicion is reached before.
-const doublings = 8
+// maxDoublings bounds the shift; maxSuspicion is reached earlier.
+const maxDoublings = 8
 
-// clear forgets the failures and reports whether there were any.
-func (d *suspicion) clear() bool {
-	had := d.failures > 0
-	*d = suspicion{}
+// clear resets the failures and reports whether there were any.
+func (s *suspicion) clear() bool {
+	had := s.failures > 0
+	*s = suspicion{}
 	return had
 }
 
-// holds reports whether the node failed of late.
-func (d *suspicion) holds(now time.Time) bool { return now.Before(d.until) }
+// active reports whether the node has failed recently.
+func (s *suspicion) active(now time.Time) bool { return now.Before(s.until) }
 
-// passes reports whether the node is to be passed over for a moment.
-func (d *suspicion) passes(now time.Time) bool { return now.Before(d.busy) }
+// paused reports whether new work is kept from the node for reasons other than its health.
+func (s *suspicion) paused(now time.Time) bool { return now.Before(s.pausedUntil) }
--- a/forward/upstream_end.go
+++ b/forward/upstream_end.go
@@ -9,16 +9,16 @@
 	"celeryport/event"
 )
 
-// endCheckPause passes between the first broken send at a node and the check whether its
-// process has ended, so that one check covers all sends that broke with it.
+// endCheckPause is the time between the first broken send at a node and the check whether its
+// process has ended, so that one check covers all sends that broke at the same time.
 const endCheckPause = 10 * time.Millisecond
 
 // endCheckWait bounds how long a call waits for the check before it is sent again.
 const endCheckWait = 50 * time.Millisecond
 
-// brokeOff notes a send that broke off and has it checked whether the node's process has
-// ended. The channel is closed when that is known.
-func (f *fleet) brokeOff(n *node, b brokenSend) <-chan struct{} {
+// recordBroken records a broken send and starts a check whether the node's process has ended.
+// The returned channel is closed when the result is known.
+func (f *fleet) recordBroken(n *node, b brokenSend) <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n.broken = append(n.broken, b)
@@ -29,12 +29,11 @@
 	return n.checked
 }
 
-// checkEnd finds out whether a node at which sends broke off has ended, or only closed
-// their connections.
+// checkEnd checks whether a node with broken sends has ended or only closed their connections.
 func (f *fleet) checkEnd(n *node, done chan<- struct{}) {
 	defer close(done)
 	clock.Pause(context.Background(), endCheckPause)
-	ended := !f.there(context.Background(), n)
+	ended := !f.reachable(context.Background(), n)
 	f.mu.Lock()
 	ended = ended || n.replaced
 	broken := n.broken
@@ -45,27 +44,27 @@
 	}
 	f.logEnd(n, broken)
 	if f.leaves(n) {
-		return // it ended as it said it would
+		return // a planned end is no evidence against its requests
 	}
 	for i := range broken {
 		if outcome, suspected := broken[i].evidence(); suspected {
-			f.suspects.ended(time.Now(), n, broken[i].request, outcome)
+			f.suspects.recordEnd(time.Now(), n, broken[i].request, outcome)
 		}
 	}
 }
 
-// leaves reports whether a node announced that it leaves.
+// leaves reports whether a node announced that it is leaving.
 func (f *fleet) leaves(n *node) bool {
 	for _, u := range f.options.Plane.View().Upstreams.Upstreams {
-		if startOf(&u.Announcement) == n.start {
+		if incarnationOf(&u.Announcement) == n.incarnationID {
 			return u.Announcement.Leaving
 		}
 	}
 	return false
 }
 
-// logEnd logs which requests an upstream had when it ended. Those whose answer had been under
-// way for longer are only counted.
+// logEnd logs the requests that an upstream had in flight when it ended. Those whose answer had
+// been in progress for longer are only counted.
 func (f *fleet) logEnd(n *node, broken []brokenSend) {
 	var started, unanswered []string
 	for i := range broken {
--- a/forward/upstream_end_test.go
+++ b/forward/upstream_end_test.go
@@ -21,8 +21,8 @@
 	"celeryport/upstream"
 )
 
-func TestClosedConnectionIsNoEnd(t *testing.T) {
-	// Guards against blaming a request for an engine that only closed its connection.
+func TestClosedConnectionIsNotAnUpstreamEnd(t *testing.T) {
+	// Guards against suspecting a request when an engine only closed its connection.
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
 	accepted := func(context.Context, string, string) (net.Conn, error) {
 		conn, _ := net.Pipe()
@@ -36,9 +36,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				log, logged := test.NewNullLogger()
 				f := newTestFleet(log, c.dial)
-				n := &node{start: start{name: "i-1"}}
+				n := &node{incarnationID: incarnationID{name: "i-1"}}
 				for body := range 3 {
-					f.brokeOff(n, brokenSend{request: quarantine.Fingerprint{Body: uint64(body)}, phase: phaseStarted})
+					f.recordBroken(n, brokenSend{request: quarantine.Fingerprint{Body: uint64(body)}, phase: phaseStarted})
 				}
 				time.Sleep(2 * endCheckPause)
 				synctest.Wait()
@@ -49,7 +49,7 @@
 					}
 				}
 				if lines != c.want {
-					t.Errorf("%d lines tell of the end, want %d", lines, c.want)
+					t.Errorf("%d log lines about the end, want %d", lines, c.want)
 				}
 			})
 		})
@@ -57,21 +57,21 @@
 }
 
 func newTestFleet(log logrus.FieldLogger, dial Dial) *fleet {
-	return newFleet(&Options{Process: &settings.Process{Name: "front"}, Random: rand.New(rand.NewPCG(1, 2)), Log: log, Dial: dial, Plane: fixedPlane{&control.View{Upstreams: &upstream.Snapshot{}}}}, noArrivals)
+	return newFleet(&Options{Process: &settings.Process{Name: "front"}, Random: rand.New(rand.NewPCG(1, 2)), Log: log, Dial: dial, Plane: fixedPlane{&control.View{Upstreams: &upstream.Snapshot{}}}}, noCalls)
 }
 
-func noArrivals(time.Time, string) float64 { return 0 }
+func noCalls(time.Time, string) float64 { return 0 }
 
-func TestBrokenConnectionsAreTold(t *testing.T) {
+func TestErrorsOfAClosedPeerAreRecognised(t *testing.T) {
 	reset := &net.OpError{Op: "read", Err: syscall.ECONNRESET}
 	for _, err := range []error{io.EOF, httpwire.ErrTruncated, errSilent, reset} {
 		if !endedByPeer(errors.Wrap(err, "read the answer")) {
-			t.Errorf("%v is no end", err)
+			t.Errorf("%v is not recognised", err)
 		}
 	}
 	for _, err := range []error{nil, errStray, errOwnFailure, context.DeadlineExceeded, net.ErrClosed} {
 		if endedByPeer(err) {
-			t.Errorf("%v is an end", err)
+			t.Errorf("%v is wrongly recognised", err)
 		}
 	}
 }
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -8,15 +8,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// watch notices that a caller leaves while its call is under way. Engines would
-// otherwise go on working for nobody until the deadline.
+// watch detects that a caller leaves while its call is in flight. Otherwise engines would
+// continue to work on the abandoned call until its deadline.
 type watch struct {
 	conn  net.Conn
 	ended chan error
 }
 
-// watch reads ahead on the connection until stop; gone is called when the caller
-// closes it, or only its sending half.
+// watch reads ahead on the connection until stop is called; gone is called when the caller
+// closes the connection, or only its sending half.
 func (c *callerConn) watch(gone context.CancelFunc) *watch {
 	w := &watch{conn: c.conn, ended: make(chan error, 1)}
 	if err := c.conn.SetReadDeadline(time.Time{}); err != nil {
@@ -34,10 +34,10 @@
 	return w
 }
 
-// aLongTimeAgo ends a read at once when it is set as the deadline.
+// aLongTimeAgo as the deadline makes a pending read return at once.
 var aLongTimeAgo = time.Unix(1, 0)
 
-// stop ends the watch and reports whether the caller is still there.
+// stop ends the watch and reports whether the caller is still connected.
 func (w *watch) stop() bool {
 	if err := w.conn.SetReadDeadline(aLongTimeAgo); err != nil {
 		return false
--- a/forward/work.go
+++ b/forward/work.go
@@ -7,33 +7,33 @@
 	"celeryport/loadshare"
 )
 
-// work is a send that is under way.
+// work is a send in flight.
 type work struct {
 	lead    *node
-	helpers []*node       // that read a part of the prompt each
-	part    time.Duration // of the reading, at the lead engine and each helper
+	helpers []*node       // engines that read a part of the prompt each
+	part    time.Duration // reading time at the lead engine and at each helper
 	memory  []*reservation
 
-	renewing     context.Context // ends with the send; set while memory is reserved
+	renewing     context.Context // cancelled at the end of the send; set while memory is reserved
 	stopRenewing context.CancelFunc
 
-	tight bool // its pauses have to be short
-	late  bool // its answer can't be in time any more
-	held  int  // tokens of memory at the lead engine
+	tight      bool // its stream must have short pauses only
+	late       bool // its answer is already late
+	heldTokens int  // tokens of memory at the lead engine
 
-	granted bool // by the arbiter, which has counted it where a rate is named
+	granted bool // placed by the arbiter, which has counted it against named rates
 }
 
-// begin notes a send. The lock must be held.
+// begin registers a send as in flight. The lock must be held.
 func (f *fleet) begin(now time.Time, w *work) {
 	if !w.granted {
-		f.countLimited(now, w.lead)
+		f.consumeRate(now, w.lead)
 	}
-	w.lead.beginTrial(now, w)
+	w.lead.beginProbe(now, w)
 	for _, n := range w.helpers {
-		n.beginTrial(now, w)
+		n.beginProbe(now, w)
 	}
-	w.lead.load = w.lead.load.Add(w.atLead())
+	w.lead.load = w.lead.load.Add(w.leadLoad())
 	if w.part > 0 {
 		f.beginReading(now, w, w.lead)
 		w.lead.load.Leading++
@@ -45,13 +45,12 @@
 	for _, r := range w.memory {
 		r.node.load.Held += r.tokens
 	}
-	f.changed()
+	f.notifyChanged()
 }
 
-// beginReading notes until when a node reads its part of a prompt, after all that
-// it has to read already. The prediction ends by itself: an answer that is lost on
-// its way must not keep its engines idle until its deadline, while other calls are
-// refused for want of them.
+// beginReading records until when a node reads its part of a prompt, after everything that it
+// already has to read. The prediction expires by itself: a lost answer must not block its
+// engines until its deadline while other calls are refused for lack of engines.
 func (f *fleet) beginReading(now time.Time, w *work, n *node) {
 	if n.reading == nil {
 		n.reading = map[*work]time.Time{}
@@ -59,28 +58,28 @@
 	n.reading[w] = now.Add(f.loadOf(now, n).Reading + w.part)
 }
 
-// answering notes that the answer of a send has begun: its prompt is read.
-func (f *fleet) answering(w *work) {
+// recordAnswering records that the answer of a send has begun, so that its prompt has been read.
+func (f *fleet) recordAnswering(w *work) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.endReading(w)
 }
 
-// end notes the end of a send.
+// end removes a send that has ended.
 func (f *fleet) end(w *work) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.endReading(w)
-	w.lead.endTrial(w)
+	w.lead.endProbe(w)
 	for _, n := range w.helpers {
-		n.endTrial(w)
+		n.endProbe(w)
 	}
-	at := w.atLead()
+	at := w.leadLoad()
 	w.lead.load = w.lead.load.Add(loadshare.Load{Streams: -at.Streams, Tight: -at.Tight, Late: -at.Late, Held: -at.Held})
 	for _, r := range w.memory {
 		r.node.load.Held -= r.tokens
 	}
-	f.changed()
+	f.notifyChanged()
 }
 
 func (f *fleet) endReading(w *work) {
@@ -93,12 +92,12 @@
 		delete(n.reading, w)
 		n.load.Helping--
 	}
-	f.changed()
+	f.notifyChanged()
 }
 
-// late notes that a stream can't be in time any more: its engine need not be kept
-// from long reading for it.
-func (f *fleet) late(w *work) {
+// recordLate records that a stream is already late, so that its engine need not be kept free of
+// long reading for it.
+func (f *fleet) recordLate(w *work) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if w.late {
@@ -109,12 +108,12 @@
 	}
 	w.tight, w.late = false, true
 	w.lead.load.Late++
-	f.changed()
+	f.notifyChanged()
 }
 
-// atLead is what a send takes at its lead engine besides the reading.
-func (w *work) atLead() loadshare.Load {
-	load := loadshare.Load{Streams: 1, Held: w.held}
+// leadLoad returns the load of a send on its lead engine besides the reading.
+func (w *work) leadLoad() loadshare.Load {
+	load := loadshare.Load{Streams: 1, Held: w.heldTokens}
 	if w.tight {
 		load.Tight = 1
 	}
@@ -134,8 +133,8 @@
 	return nil
 }
 
-// helperList names the helpers, those that keep a part of the prompt first and in
-// the order in which their memory is filled.
+// helperList lists the helpers: first those with a memory reservation, in the order in which the
+// memory is filled, then the others.
 func (w *work) helperList() []Helper {
 	list := make([]Helper, 0, len(w.helpers))
 	keeps := map[*node]bool{}
--- a/forward/work_test.go
+++ b/forward/work_test.go
@@ -10,39 +10,39 @@
 	"celeryport/settings"
 )
 
-func TestLostAnswersDontKeepTheirEngineOut(t *testing.T) {
-	// Engines read a long prompt and its answer is lost on the way. Until its deadline,
-	// ten seconds later, it seems to be read still, and its engines look too busy for
-	// any other call, although they stand idle.
+func TestLostAnswerDoesNotBlockItsEngines(t *testing.T) {
+	// The answer to a long prompt is lost. The prompt must not count as being read until the
+	// call's deadline ten seconds later: its engines would seem too busy for other calls
+	// although they are idle.
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(&Options{Process: &settings.Process{}, Random: rand.New(rand.NewPCG(1, 2))}, noArrivals)
+		f := newFleet(&Options{Process: &settings.Process{}, Random: rand.New(rand.NewPCG(1, 2))}, noCalls)
 		lead, helper := &node{key: 1}, &node{key: 2}
 		w := &work{lead: lead, helpers: []*node{helper}, part: 600 * time.Millisecond, tight: true}
 		f.mu.Lock()
 		f.begin(time.Now(), w)
-		if lead.own(time.Now()).Reading == 0 || helper.own(time.Now()).Reading == 0 {
-			t.Error("a prompt that is just sent counts as read")
+		if lead.ownLoad(time.Now()).Reading == 0 || helper.ownLoad(time.Now()).Reading == 0 {
+			t.Error("a prompt that was just sent does not count as being read")
 		}
 		f.mu.Unlock()
 		time.Sleep(time.Second)
 		f.mu.Lock()
-		if at := lead.own(time.Now()); at.Reading != 0 || at.Streams != 1 || helper.own(time.Now()).Reading != 0 {
-			t.Errorf("after a second %+v and %+v are under way", at, helper.own(time.Now()))
+		if at := lead.ownLoad(time.Now()); at.Reading != 0 || at.Streams != 1 || helper.ownLoad(time.Now()).Reading != 0 {
+			t.Errorf("loads after a second: %+v and %+v", at, helper.ownLoad(time.Now()))
 		}
 		f.mu.Unlock()
 		f.end(w)
-		if at := lead.own(time.Now()); at != (loadshare.Load{}) || len(lead.reading)+len(helper.reading) > 0 {
-			t.Errorf("at the end %+v is left", at)
+		if at := lead.ownLoad(time.Now()); at != (loadshare.Load{}) || len(lead.reading)+len(helper.reading) > 0 {
+			t.Errorf("load left at the end: %+v", at)
 		}
 	})
 }
 
-func TestReadPartsDontKeepTheirEngineBusy(t *testing.T) {
-	// A long prompt is read by two engines, and one of them has other work first. The
-	// other one is done with its part long before the answer begins. If it counted as
-	// busy until then, it would stand idle, and callers would be refused.
+func TestEngineIsFreeAfterReadingItsPart(t *testing.T) {
+	// A long prompt is read by two engines, one of which has other work first. The other one
+	// finishes its part long before the answer begins. If it counted as busy until then, it
+	// would idle while callers are refused.
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(&Options{Process: &settings.Process{}, Random: rand.New(rand.NewPCG(1, 2))}, noArrivals)
+		f := newFleet(&Options{Process: &settings.Process{}, Random: rand.New(rand.NewPCG(1, 2))}, noCalls)
 		late, early := &node{key: 1}, &node{key: 2}
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -51,34 +51,34 @@
 		second := &work{lead: late, helpers: []*node{early}, part: 500 * time.Millisecond}
 		f.begin(time.Now(), second)
 		time.Sleep(600 * time.Millisecond)
-		if got := late.own(time.Now()).Reading; got != 900*time.Millisecond {
-			t.Errorf("%s are left to read at the engine that had work, want 900 ms", got)
+		if got := late.ownLoad(time.Now()).Reading; got != 900*time.Millisecond {
+			t.Errorf("%s left to read at the engine with other work, want 900 ms", got)
 		}
-		if got := early.own(time.Now()).Reading; got != 0 {
-			t.Errorf("%s are left to read at the engine that was idle, want none", got)
+		if got := early.ownLoad(time.Now()).Reading; got != 0 {
+			t.Errorf("%s left to read at the idle engine, want none", got)
 		}
 	})
 }
 
 func TestLateStreamsAreNotProtected(t *testing.T) {
-	// A long prompt was read beside a short stream, which paused for a second. Its
-	// answer is late whatever happens now. If its engine was still kept free for it, the
-	// engine would read nothing until the slowed stream ends, and long prompts would be
-	// refused by engines that stand idle.
-	f := newFleet(&Options{Process: &settings.Process{}, Random: rand.New(rand.NewPCG(1, 2))}, noArrivals)
-	lead := &node{start: start{name: "e1"}, key: 1}
-	w := &work{lead: lead, tight: true, held: 100}
+	// Reading a long prompt paused a short stream on the same engine for a second, so that the
+	// stream's answer is late in any case. If the engine was still protected for this stream, it
+	// would read nothing until the stream ends, and long prompts would be refused while engines
+	// are idle.
+	f := newFleet(&Options{Process: &settings.Process{}, Random: rand.New(rand.NewPCG(1, 2))}, noCalls)
+	lead := &node{incarnationID: incarnationID{name: "e1"}, key: 1}
+	w := &work{lead: lead, tight: true, heldTokens: 100}
 	f.mu.Lock()
 	f.begin(time.Now(), w)
 	f.mu.Unlock()
-	f.late(w)
-	f.late(w)
-	if at := lead.own(time.Now()); at.Streams != 1 || at.Tight != 0 || at.Late != 1 {
+	f.recordLate(w)
+	f.recordLate(w)
+	if at := lead.ownLoad(time.Now()); at.Streams != 1 || at.Tight != 0 || at.Late != 1 {
 		t.Errorf("a late stream counts as %+v", at)
 	}
 	f.end(w)
-	if at := lead.own(time.Now()); at != (loadshare.Load{}) {
-		t.Errorf("at the end %+v is left", at)
+	if at := lead.ownLoad(time.Now()); at != (loadshare.Load{}) {
+		t.Errorf("load left at the end: %+v", at)
 	}
 }
 
@@ -89,16 +89,16 @@
 		x    exchange
 		late bool
 	}{
-		"nothing came yet":     {exchange{}, false},
-		"in time":              {exchange{firstAt: began.Add(200 * time.Millisecond), longestPause: 250 * time.Millisecond}, false},
-		"first event late":     {exchange{firstAt: began.Add(301 * time.Millisecond)}, true},
-		"late since it came":   {exchange{firstAt: began.Add(200 * time.Millisecond), age: 150 * time.Millisecond}, true},
-		"a pause was too long": {exchange{firstAt: began, longestPause: 251 * time.Millisecond}, true},
+		"no event yet":                  {exchange{}, false},
+		"in time":                       {exchange{firstAt: began.Add(200 * time.Millisecond), longestPause: 250 * time.Millisecond}, false},
+		"first event late":              {exchange{firstAt: began.Add(301 * time.Millisecond)}, true},
+		"late including the call's age": {exchange{firstAt: began.Add(200 * time.Millisecond), age: 150 * time.Millisecond}, true},
+		"a pause was too long":          {exchange{firstAt: began, longestPause: 251 * time.Millisecond}, true},
 	} {
 		x := test.x
 		x.began, x.route = began, route
 		if x.late() != test.late || (x.longPause() == 0) != test.late {
-			t.Errorf("%s: late is %t, the rest may pause for %s", name, x.late(), x.longPause())
+			t.Errorf("%s: late is %t, longest pause of the rest is %s", name, x.late(), x.longPause())
 		}
 	}
 }
