--- a/forward/availability_test.go
+++ b/forward/availability_test.go
@@ -121,7 +121,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, n := newServerWithNode(t)
 		rate := 1.0
-		s.fleet.applyStatements(n, &Answer{Elsewhere: true, NotRun: true, Rest: time.Second, Leaving: true, Rate: &rate})
+		s.fleet.applyStatements(n, &Answer{WrongIncarnation: true, NotRun: true, Rest: time.Second, Leaving: true, Rate: &rate})
 		s.fleet.mu.Lock()
 		defer s.fleet.mu.Unlock()
 		if _, named := s.fleet.rates.table.Rate(time.Now(), n.key); named || n.unavailable(time.Now()) != nil {
--- a/forward/send.go
+++ b/forward/send.go
@@ -217,7 +217,7 @@
 		}
 		answer := s.x.server.options.Dialect.DecodeAnswer(head)
 		s.x.server.fleet.applyStatements(s.node, &answer)
-		if answer.CallID == s.x.call.ID || answer.CallID == "" && (answer.NotRun || answer.Elsewhere) {
+		if answer.CallID == s.x.call.ID || answer.CallID == "" && (answer.NotRun || answer.WrongIncarnation) {
 			s.x.server.fleet.recordAccepted(s.node, &answer, s.sentAt)
 			return head, answer, nil
 		}
@@ -243,7 +243,7 @@
 		s.finish(head, answer)
 	}
 	switch {
-	case answer.Elsewhere:
+	case answer.WrongIncarnation:
 		s.x.server.fleet.recordReplaced(s.node)
 		return &outcome{verdict: verdict.NotRun, err: errWrongIncarnation, reached: true}
 	case answer.NotRun && answer.AtFault != "" && answer.AtFault != s.node.address:
--- a/forward/statements.go
+++ b/forward/statements.go
@@ -13,7 +13,7 @@
 
 // applyStatements applies what an answer states about its upstream's condition.
 func (f *fleet) applyStatements(n *node, a *Answer) {
-	if a.Elsewhere {
+	if a.WrongIncarnation {
 		return // the statements are those of another incarnation
 	}
 	f.recordRate(n, a)
@@ -43,7 +43,7 @@
 // recordAccepted records that an upstream accepted a call that was sent at the given time.
 // Answers to polls are not recorded here: a poll takes no slot and shows nothing about calls.
 func (f *fleet) recordAccepted(n *node, a *Answer, sentAt time.Time) {
-	if a.Elsewhere || a.NotRun || a.Rest > 0 {
+	if a.WrongIncarnation || a.NotRun || a.Rest > 0 {
 		return
 	}
 	f.mu.Lock()
