--- a/forward/dialect.go
+++ b/forward/dialect.go
@@ -81,7 +81,7 @@
 	Rest             time.Duration // rest period in which the upstream wants no requests from this instance, 0 if none
 	Leaving          bool          // the upstream is leaving: it finishes its current calls and accepts no new ones
 	AtFault          string        // address of the engine that caused a call on several engines to fail, empty if not stated
-	Unread           []string      // fields whose values could not be parsed, for the log
+	Unparsable       []string      // fields whose values could not be parsed, for the log
 }
 
 // EngineReport is an engine's answer to a poll.
--- a/forward/statements.go
+++ b/forward/statements.go
@@ -23,8 +23,8 @@
 	if a.Leaving {
 		f.recordLeaving(n)
 	}
-	if len(a.Unread) > 0 {
-		f.logUnparsable(n, a.Unread)
+	if len(a.Unparsable) > 0 {
+		f.logUnparsable(n, a.Unparsable)
 	}
 }
 
