--- a/forward/server.go
+++ b/forward/server.go
@@ -95,10 +95,10 @@
 
 // DrainPlan sets the time limits of a drain.
 type DrainPlan struct {
-	Least   time.Duration // minimum duration: callers may still use a list of addresses that they just received
-	Quiet   time.Duration // the drain ends when no call has arrived for this time
-	Streams time.Duration // streams are accepted for this time
-	Calls   time.Duration // other calls are accepted for this time
+	MinDuration time.Duration // minimum duration: callers may still use a list of addresses that they just received
+	Quiet       time.Duration // the drain ends when no call has arrived for this time
+	Streams     time.Duration // streams are accepted for this time
+	Calls       time.Duration // other calls are accepted for this time
 }
 
 // drainState is a drain in progress.
@@ -119,7 +119,7 @@
 	for {
 		now := time.Now()
 		idle := s.inFlight.Load() == 0 && now.Sub(time.Unix(0, s.lastCall.Load())) > plan.Quiet
-		if idle && now.Sub(began) > plan.Least {
+		if idle && now.Sub(began) > plan.MinDuration {
 			return
 		}
 		select {
