--- a/forward/server.go
+++ b/forward/server.go
@@ -96,7 +96,7 @@
 // DrainPlan sets the time limits of a drain.
 type DrainPlan struct {
 	MinDuration time.Duration // minimum duration: callers may still use a list of addresses that they just received
-	Quiet       time.Duration // the drain ends when no call has arrived for this time
+	IdleTime    time.Duration // the drain ends when no call has arrived for this time
 	Streams     time.Duration // streams are accepted for this time
 	Calls       time.Duration // other calls are accepted for this time
 }
@@ -118,7 +118,7 @@
 	defer ticker.Stop()
 	for {
 		now := time.Now()
-		idle := s.inFlight.Load() == 0 && now.Sub(time.Unix(0, s.lastCall.Load())) > plan.Quiet
+		idle := s.inFlight.Load() == 0 && now.Sub(time.Unix(0, s.lastCall.Load())) > plan.IdleTime
 		if idle && now.Sub(began) > plan.MinDuration {
 			return
 		}
--- a/instance/forwarding_stop.go
+++ b/instance/forwarding_stop.go
@@ -44,7 +44,7 @@
 	}()
 	if f.server != nil {
 		f.server.Drain(bounded, forward.DrainPlan{
-			MinDuration: drainLeast, Quiet: drainQuiet, Streams: limit - streamTime, Calls: limit - callTime,
+			MinDuration: drainLeast, IdleTime: drainQuiet, Streams: limit - streamTime, Calls: limit - callTime,
 		})
 		f.server.Close()
 	}
