--- a/dispatch/admit_test.go
+++ b/dispatch/admit_test.go
@@ -12,7 +12,7 @@
 	"celeryport/verdict"
 )
 
-func TestWhatCannotRunIsRefusedAtOnceWithItsReason(t *testing.T) {
+func TestUnservableRequestIsRefusedAtOnceWithItsReason(t *testing.T) {
 	limited := &settings.Tree{Organisations: []settings.Organisation{
 		{Name: "bottega", Weight: 1, Limits: settings.Limits{InFlight: 1}},
 	}}
@@ -20,7 +20,7 @@
 		name   string
 		change func(s *Scheduler, r *request.Request)
 		reason verdict.Reason
-		again  bool // coming back helps
+		again  bool // a retry after a delay can succeed
 	}{
 		{"unknown model", func(_ *Scheduler, r *request.Request) { r.Target = "other" }, verdict.ReasonNoUpstream, true},
 		{"larger than all engines", func(_ *Scheduler, r *request.Request) { r.PromptTokens = 5_000_000 }, verdict.ReasonTooLong, false},
@@ -48,10 +48,10 @@
 	}
 }
 
-// Only a small organisation is there. If shares were hard limits, it would be
-// refused or made to wait beside idle engines, the more so while a single prompt of
-// a large one happens to wait elsewhere.
-func TestAnIdleFleetServesASmallOrganisationWhole(t *testing.T) {
+// Only a small organisation sends requests. If shares were hard limits, its
+// requests would be refused or queued beside idle engines, in particular while
+// a single prompt of a large organisation happens to wait elsewhere.
+func TestIdleFleetServesAllRequestsOfASmallOrganisation(t *testing.T) {
 	s := newTestScheduler(4)
 	s.Configure(epoch, &settings.Tree{Organisations: []settings.Organisation{
 		{Name: "bottega", Weight: 1}, {Name: "large", Weight: 99},
@@ -66,7 +66,7 @@
 	s.Offer(epoch, prompt("long", 100_000, epoch))
 	for _, a := range take(s) {
 		if a.Kind != Send {
-			t.Fatalf("%s was refused: %v", a.Request.ID, a.Err)
+			t.Fatalf("request %s was refused: %v", a.Request.ID, a.Err)
 		}
 	}
 	if len(s.jobs) != 9 || s.anyWaiting() {
@@ -75,9 +75,10 @@
 }
 
 // An organisation waits in another instance and has had less than its share.
-// This instance does not see that queue; if it went on sending for the one that
-// is ahead, the shares over the fleet would be those of whoever asks most.
-func TestAnOrganisationAheadLeavesThePlaceToOneThatWaitsElsewhere(t *testing.T) {
+// This instance does not see that queue; if it kept sending for the
+// organisation that is ahead, the fleet-wide shares would follow the number of
+// requests instead of the weights.
+func TestOrganisationAheadYieldsToOneWaitingOnAnotherInstance(t *testing.T) {
 	s := newTestScheduler(2)
 	grants := []quota.Grant{
 		{Organisation: "bottega", FleetUsage: 1e7, Lease: time.Minute},
@@ -93,14 +94,14 @@
 	grants[1].FleetWaitingTokens = 0
 	s.Granted(epoch, grants)
 	if actions := take(s); len(actions) != 1 || actions[0].Kind != Send {
-		t.Fatalf("not sent when nobody waits: %+v", actions)
+		t.Fatalf("not sent after the other organisation's backlog ended: %+v", actions)
 	}
 }
 
-// All engines are full, and a waiting request runs out of time. Told only at its
-// deadline, its caller would have lost the time in which another fleet, or a
-// person, could have answered.
-func TestAWaitingRequestIsRefusedInTheStepInWhichItGetsHopeless(t *testing.T) {
+// All engines are full, and a waiting request runs out of time. If it were
+// refused only at its deadline, its caller would lose the time in which another
+// fleet or a person could have answered.
+func TestWaitingRequestIsRefusedOnceItCannotMeetItsDeadline(t *testing.T) {
 	s := New(Config{}, rand1())
 	full := func(_ int, u *upstream.Upstream) {
 		u.Announcement.Load.QueuedPrefill = 4_000_000
@@ -127,9 +128,9 @@
 	t.Fatal("no answer before the deadline")
 }
 
-// Nobody may wait in this class: its callers rather ask another fleet. The
-// engines are full, so the answer is due at once.
-func TestAQueueLimitOfZeroLetsNoneWait(t *testing.T) {
+// A queue limit of zero forbids queueing: callers of this class prefer to ask
+// another fleet. The engines are full, so the refusal must be immediate.
+func TestQueueLimitOfZeroForbidsQueueing(t *testing.T) {
 	s := New(Config{}, rand1())
 	s.Configure(epoch, &settings.Tree{Classes: []settings.Class{{Name: "counter"}}})
 	s.Observe(epoch, engines(epoch, 2, func(_ int, u *upstream.Upstream) {
@@ -142,10 +143,10 @@
 	}
 }
 
-// A large audit waits, and smaller ones keep coming that fit beside what runs.
-// Without a cleared node each of them goes before it, and its caller sees an audit
-// of the afternoon answered before that of the morning.
-func TestALargePromptThatWaitedGetsAClearedNode(t *testing.T) {
+// A large prompt waits while smaller ones keep arriving that fit beside the
+// running ones. Without a cleared node each of them overtakes it, and a later
+// prompt is answered before an earlier one.
+func TestOverdueLargePromptGetsAClearedNode(t *testing.T) {
 	s := New(Config{}, rand1())
 	s.Granted(epoch, []quota.Grant{{
 		Organisation: "bottega", Lease: time.Hour, FleetMix: quota.Mix{Long: 60_000},
@@ -155,22 +156,22 @@
 	first := prompt("large", 300_000, epoch)
 	first.Deadline = epoch.Add(time.Hour)
 	s.Offer(epoch, first)
-	now := epoch.Add(spanPatience + time.Second)
+	now := epoch.Add(spanClearingDelay + time.Second)
 	s.Tick(now)
 	s.Observe(now, engines(now, 4, busy))
 	small := prompt("small", 50_000, now)
 	small.Organisation = "other"
-	taken := map[string]bool{}
+	used := map[string]bool{}
 	for i := range 12 {
 		one := *small
 		one.ID = strconv.Itoa(i)
 		s.Offer(now, &one)
 	}
 	for _, a := range take(s) {
-		taken[a.Placement.Parts[0].Name] = true
+		used[a.Placement.Parts[0].Name] = true
 	}
-	if len(taken) == 0 || len(taken) == 4 {
-		t.Fatalf("later prompts are on %d of 4 nodes; one is to be kept clear", len(taken))
+	if len(used) == 0 || len(used) == 4 {
+		t.Fatalf("later prompts run on %d of 4 nodes; one node must stay cleared", len(used))
 	}
 }
 
@@ -179,7 +180,7 @@
 	s.Configure(epoch, &settings.Tree{Services: []settings.Service{{Name: "gate", InFlight: 3}}})
 	s.Observe(epoch, engines(epoch, 2, func(_ int, u *upstream.Upstream) {
 		u.Announcement.Kind, u.Announcement.Targets, u.Announcement.MemoryTokens = upstream.Service, []string{"gate"}, 0
-		u.Announcement.Load.Running = 1 // of another instance
+		u.Announcement.Load.Running = 1 // a call of another instance
 	}))
 	for i := range 6 {
 		r := prompt(strconv.Itoa(i), 1, epoch)
--- a/dispatch/class.go
+++ b/dispatch/class.go
@@ -1,9 +1,9 @@
 package dispatch
 
-// class is what the scheduler keeps of one class of work.
+// class holds the queue state of one class of work.
 type class struct {
 	name       string
 	queueLimit int
-	configured bool // queueLimit is of the settings, where 0 means that none waits
+	configured bool // queueLimit comes from the settings, where 0 forbids queueing
 	waiting    int
 }
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// Config holds the constants of a Scheduler. Zero values get the defaults.
+// Config holds the tuning parameters of a Scheduler. Zero values select the
+// defaults.
 type Config struct {
-	// ShortWindow is the most queued prefill, as time, behind which a short
-	// request is sent to an upstream. More waits in the instance, where shares
-	// and order hold.
+	// ShortWindow is the maximum queued prefill, expressed as time, behind
+	// which a short request is sent to an upstream. Requests beyond it wait in
+	// the instance, where shares and ordering are enforced.
 	ShortWindow time.Duration
-	// LongWindow is the same for long requests.
+	// LongWindow is the equivalent of ShortWindow for long requests.
 	LongWindow time.Duration
-	// AgedWindow is the same for long requests that have waited for a quarter of
-	// their time.
+	// AgedWindow is the equivalent of ShortWindow for long requests that have
+	// waited for a quarter of the time up to their deadline.
 	AgedWindow time.Duration
-	// Step is the interval at which waiting requests are looked at again.
+	// Step is the interval at which waiting requests are re-evaluated.
 	Step time.Duration
-	// BackoffBase and BackoffMax bound the wait before a retry.
+	// BackoffBase and BackoffMax bound the backoff before a retry.
 	BackoffBase time.Duration
 	BackoffMax  time.Duration
-	// Network is the time that a request spends on the way to the upstream and
-	// its answer on the way back.
+	// Network is the one-way network time between the instance and an upstream.
 	Network time.Duration
-	// Margin is kept free before a deadline for what no prediction covers.
+	// Margin is reserved before a deadline for delays that the prediction does
+	// not cover.
 	Margin time.Duration
-	// DefaultQueueLimit bounds the waiting requests of a class without a limit
-	// of its own.
+	// DefaultQueueLimit bounds the waiting requests of a class that has no
+	// configured limit.
 	DefaultQueueLimit int
 }
 
-// withDefaults fills in what is not set.
+// withDefaults returns c with unset fields replaced by their defaults.
 func (c Config) withDefaults() Config {
 	c.ShortWindow = orDefault(c.ShortWindow, 500*time.Millisecond)
 	c.LongWindow = orDefault(c.LongWindow, 500*time.Millisecond)
--- a/dispatch/deadlines.go
+++ b/dispatch/deadlines.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// deadlines is a binary heap of jobs by deadline.
+// deadlines is a binary heap of jobs ordered by deadline.
 type deadlines struct {
 	jobs []*job
 }
@@ -25,7 +25,7 @@
 	}
 }
 
-// first is the job whose deadline is next, or nil.
+// first returns the job with the earliest deadline, or nil.
 func (d *deadlines) first() *job {
 	if len(d.jobs) == 0 {
 		return nil
--- a/dispatch/decision_bench_test.go
+++ b/dispatch/decision_bench_test.go
@@ -10,8 +10,8 @@
 	"celeryport/upstream"
 )
 
-// BenchmarkDecision measures one admission with its choice of an upstream, the
-// first token and the end: all that the policy does for one short prompt.
+// BenchmarkDecision measures the work of the policy for one short prompt: its
+// admission, the choice of an upstream, the first token and the end.
 func BenchmarkDecision(b *testing.B) {
 	for _, count := range []int{26, 600, 2400} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) { benchmarkDecision(b, count) })
--- a/dispatch/finish.go
+++ b/dispatch/finish.go
@@ -17,7 +17,7 @@
 	if node := send.Node(); node != nil {
 		node.FirstToken(send)
 		node.Health.FirstToken(now.Sub(j.sentAt), j.predicted)
-		j.lane.learn(now.Sub(j.sentAt) - j.predicted)
+		j.lane.observeLateness(now.Sub(j.sentAt) - j.predicted)
 	}
 	s.pumpTarget(now, j.lane.target)
 }
@@ -31,9 +31,9 @@
 	}
 	target := j.lane.target
 	if outcome.Err == nil {
-		s.succeeded(now, j, &outcome)
+		s.handleSuccess(now, j, &outcome)
 	} else {
-		s.failed(now, j, &outcome)
+		s.handleFailure(now, j, &outcome)
 	}
 	s.pumpTarget(now, target)
 }
@@ -44,25 +44,26 @@
 	}
 }
 
-func (s *Scheduler) succeeded(now time.Time, j *job, outcome *Outcome) {
+func (s *Scheduler) handleSuccess(now time.Time, j *job, outcome *Outcome) {
 	j.lead().Node().Health.Success()
 	j.account.Budget.Success()
 	unused := j.request.OutputTokens - outcome.AnswerTokens + outcome.CachedTokens
 	j.account.Usage.Add(now, -float64(max(0, unused)))
 	probe := j.probe
 	s.endSends(j)
-	s.forget(j)
+	s.remove(j)
 	if probe {
 		s.table.Rebuild(now)
 	}
 }
 
-// failed retries the request if that is safe and paid for, else gives it up.
-func (s *Scheduler) failed(now time.Time, j *job, outcome *Outcome) {
-	s.blame(now, j, outcome.Err)
+// handleFailure retries the request if a retry is safe and within the retry
+// budget, and refuses it otherwise.
+func (s *Scheduler) handleFailure(now time.Time, j *job, outcome *Outcome) {
+	s.recordFailure(now, j, outcome.Err)
 	spread := len(j.span) > 0
 	if spread && outcome.Err.Verdict == verdict.NotRun {
-		denySpan(j)
+		markSpanDenied(j)
 	}
 	s.endSends(j)
 	if outcome.Err.Verdict == verdict.NotRun {
@@ -70,16 +71,16 @@
 	} else {
 		j.mayHaveRun = true
 	}
-	err := s.mayRetry(now, j, outcome, spread)
+	err := s.checkRetry(now, j, outcome, spread)
 	if err != nil {
-		s.giveUp(now, j, err)
+		s.fail(now, j, err)
 		return
 	}
-	s.backOff(now, j)
+	s.scheduleRetry(now, j)
 }
 
-// blame counts a failure against the node that computed the answer.
-func (s *Scheduler) blame(now time.Time, j *job, err *verdict.Error) {
+// recordFailure records a failure on the node that computed the answer.
+func (s *Scheduler) recordFailure(now time.Time, j *job, err *verdict.Error) {
 	node := j.lead().Node()
 	j.avoid = node
 	ejected := false
@@ -100,10 +101,11 @@
 	}
 }
 
-// denySpan notes that some node of the span did not grant its part.
-func denySpan(j *job) {
+// markSpanDenied records on every node of the span that a reservation was denied;
+// which node denied it is not known.
+func markSpanDenied(j *job) {
 	for _, send := range j.span {
-		send.Node().Deny()
+		send.Node().MarkDenied()
 	}
 }
 
@@ -118,19 +120,19 @@
 	j.probe = false
 }
 
-// giveUp ends a job with a refusal.
-func (s *Scheduler) giveUp(now time.Time, j *job, err *verdict.Error) {
+// fail ends a job with a refusal.
+func (s *Scheduler) fail(now time.Time, j *job, err *verdict.Error) {
 	r := j.request
 	if j.phase == waiting {
 		s.dequeue(j)
 	}
 	_ = now
-	s.forget(j)
+	s.remove(j)
 	s.refuse(r, err)
 }
 
-// forget ends a job that is in no queue and has no sends.
-func (s *Scheduler) forget(j *job) {
+// remove removes a job that is in no queue and has no sends.
+func (s *Scheduler) remove(j *job) {
 	a := j.account
 	a.InFlight--
 	a.InFlightTokens -= j.request.PromptTokens
@@ -156,7 +158,7 @@
 	default:
 	}
 	target := j.lane.target
-	s.forget(j)
+	s.remove(j)
 	s.pumpTarget(now, target)
 }
 
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -9,17 +9,17 @@
 	"celeryport/verdict"
 )
 
-// phase is where a job stands.
+// phase is the state of a job.
 type phase uint8
 
 const (
-	waiting  phase = iota // in the queue of its lane
-	delayed               // waits for its backoff
+	waiting  phase = iota // queued in its lane
+	delayed               // in backoff before a retry
 	running               // sent
-	finished              // its final action was given
+	finished              // its final action has been emitted
 )
 
-// job is one request with its progress. Jobs are reused.
+// job tracks the progress of one request. Jobs are reused.
 type job struct {
 	request   *request.Request
 	account   *admission.Account
@@ -27,24 +27,25 @@
 	ticket    admission.Ticket
 	lane      *laneQueue
 	class     *class
-	send      routing.Send    // the send of an undivided request
-	span      []*routing.Send // the sends of a span, else empty
+	send      routing.Send    // the send of a request on a single node
+	span      []*routing.Send // the sends of a span, otherwise empty
 	placement Placement
 	avoid     *routing.Node
 	predicted time.Duration // from the send to the first token
 	sentAt    time.Time
 	resumesAt time.Time // end of the backoff
-	charged   float64   // tokens that were counted as usage
+	charged   float64   // tokens charged as usage
 	attempts  int
 	probe     bool
-	// An earlier send may have run. A later refusal must say so: the caller of
-	// a request that was sent twice may not be told that it was not run.
+	// mayHaveRun is set if an earlier send may have run. A later refusal must
+	// carry that verdict: a refusal that says "not run" would let the caller
+	// repeat a request that already had an effect.
 	mayHaveRun bool
-	position   int // in the heap of deadlines, from 1
+	position   int // 1-based index in the heap of deadlines
 }
 
-// worst is the verdict over all sends, given that of the last one.
-func (j *job) worst(last verdict.Verdict) verdict.Verdict {
+// overallVerdict returns the verdict over all sends, given that of the last one.
+func (j *job) overallVerdict(last verdict.Verdict) verdict.Verdict {
 	if last == verdict.NotRun && j.mayHaveRun {
 		return verdict.MayHaveRun
 	}
@@ -53,7 +54,7 @@
 
 func (j *job) tokens() int { return j.request.Tokens() }
 
-// lead is the send that computes the answer.
+// lead returns the send that computes the answer.
 func (j *job) lead() *routing.Send {
 	for _, s := range j.span {
 		if s.Lead {
--- a/dispatch/lane_queue.go
+++ b/dispatch/lane_queue.go
@@ -7,26 +7,26 @@
 	"celeryport/quota"
 )
 
-// laneQueue holds the waiting requests of one lane of one target. Lanes keep
-// kinds of requests apart that wait for different things, so that the head of
-// one never holds up another.
+// laneQueue holds the waiting requests of one lane of one target. Lanes
+// separate requests that wait for different resources, so that the head of one
+// lane never blocks another.
 type laneQueue struct {
-	kind   laneKind
-	target string
-	queue  *admission.Queue
-	late   time.Duration  // smoothed time by which first tokens came after their prediction
-	sent   admission.Rate // prompt tokens a second sent from here
+	kind     laneKind
+	target   string
+	queue    *admission.Queue
+	lateness time.Duration  // smoothed delay of first tokens relative to their prediction
+	sendRate admission.Rate // prompt tokens per second sent from this lane
 }
 
-// lateGain is the weight of the newest sample.
-const lateGain = 0.1
+// latenessGain is the weight of the newest sample in the moving average.
+const latenessGain = 0.1
 
-// learn takes the time by which a first token came after its prediction.
-func (l *laneQueue) learn(late time.Duration) {
-	l.late += time.Duration(lateGain * float64(max(0, late)-l.late))
+// observeLateness records the delay of a first token relative to its prediction.
+func (l *laneQueue) observeLateness(late time.Duration) {
+	l.lateness += time.Duration(latenessGain * float64(max(0, late)-l.lateness))
 }
 
-// laneKind is the kind of a lane.
+// laneKind identifies a lane.
 type laneKind uint8
 
 const (
@@ -36,11 +36,11 @@
 	laneKinds
 )
 
-// lanes are the queues of one target, and the measured mix of its requests.
+// lanes holds the queues of one target and the measured mix of its requests.
 type lanes struct {
 	byKind [laneKinds]*laneQueue
-	mix    admission.MixRate // offered to this instance
-	load   quota.Mix         // of the fleet, as parts of the pool's capacity
+	mix    admission.MixRate // mix offered to this instance
+	load   quota.Mix         // load of the fleet, as fractions of the pool's capacity
 }
 
 func newLanes(target string) *lanes {
--- a/dispatch/lane_size.go
+++ b/dispatch/lane_size.go
@@ -6,9 +6,10 @@
 	"celeryport/quota"
 )
 
-// sizeLanes sets the long lane of each pool from the load of the whole fleet, so
-// that the lanes of all instances are equal but for the delay of the grants. The
-// part of each target in that load is this instance's own measurement.
+// sizeLanes sizes the long lane of each pool from the load of the whole fleet,
+// so that the lanes of all instances are equal except for the delay of the
+// grants. Each target's fraction of that load is estimated from this instance's
+// own measurements.
 func (s *Scheduler) sizeLanes(now time.Time) {
 	var fleet quota.Mix
 	waiting, spans := 0, 0
@@ -28,15 +29,15 @@
 		}
 		mine := l.mix.At(now)
 		l.load = quota.Mix{
-			Small:  fleet.Small * part(mine.Small, own.Small) / pool.Rate(),
-			Middle: fleet.Middle * part(mine.Middle, own.Middle) / pool.Rate(),
-			Long:   fleet.Long * part(mine.Long, own.Long) / pool.Rate(),
+			Small:  fleet.Small * fraction(mine.Small, own.Small) / pool.Rate(),
+			Middle: fleet.Middle * fraction(mine.Middle, own.Middle) / pool.Rate(),
+			Long:   fleet.Long * fraction(mine.Long, own.Long) / pool.Rate(),
 		}
 		pool.SizeLane(l.load, waiting, spans)
 	}
 }
 
-func part(one, all float64) float64 {
+func fraction(one, all float64) float64 {
 	if all <= 0 {
 		return 0
 	}
--- a/dispatch/leaving_test.go
+++ b/dispatch/leaving_test.go
@@ -10,7 +10,7 @@
 
 const (
 	leavingFreshFor = 3 * time.Second
-	leavingBound    = 5 * time.Second // from the announcement to the last new work
+	leavingBound    = 5 * time.Second // from the announcement to the last new request
 )
 
 func announced(sequence uint64, leaving bool) upstream.Announcement {
@@ -22,16 +22,16 @@
 }
 
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
-	// An engine announces that it leaves at second 1. The announcement does not
-	// reach this instance, or comes after an older one, or the control goroutine
-	// hangs and no newer view is published. New work on the engine after a few
-	// seconds would be cut off when it ends.
+	// An engine announces at second 1 that it is leaving. The announcement does
+	// not reach this instance, or is overtaken by an older one, or the control
+	// goroutine hangs and no newer snapshot is published. New requests sent to
+	// the engine a few seconds later would be cut off when it stops.
 	at := func(seconds float64) time.Time { return epoch.Add(time.Duration(seconds * float64(time.Second))) }
 	const leaves = 1.0
 	tests := map[string]struct {
 		hear  func(r *upstream.Registry)
-		views []float64 // when a view is published, in seconds
-		last  float64   // no work is sent after this
+		views []float64 // when snapshots are published, in seconds
+		last  float64   // latest time at which a request may be sent, in seconds
 	}{
 		"heard": {
 			hear: func(r *upstream.Registry) {
@@ -40,7 +40,7 @@
 			},
 			views: []float64{leaves}, last: leaves,
 		},
-		"crossed with an older one": {
+		"received before an older one": {
 			hear: func(r *upstream.Registry) {
 				r.Hear(at(leaves), announced(3, true))
 				r.Hear(at(leaves+0.5), announced(2, false))
@@ -55,7 +55,7 @@
 			hear:  func(r *upstream.Registry) { r.Hear(at(0.9), announced(1, false)) },
 			views: []float64{0.9}, last: 0.9 + leavingFreshFor.Seconds(),
 		},
-		"never heard, known only from a late relay": {
+		"never heard, only a late relay of an older one": {
 			hear: func(r *upstream.Registry) {
 				r.HearRelayed(at(2.5), upstream.Relayed{Announcement: announced(1, false), Age: 2 * time.Second})
 			},
--- a/dispatch/offer.go
+++ b/dispatch/offer.go
@@ -10,7 +10,8 @@
 	"celeryport/verdict"
 )
 
-// announceInterval is when a target without upstreams may have one again.
+// announceInterval is the retry delay reported for a target without upstreams:
+// the interval after which a new announcement may have arrived.
 const announceInterval = time.Second
 
 // Offer implements Dispatcher.
@@ -20,7 +21,7 @@
 	account := s.account(r.Organisation)
 	account.Offered(now, r.Tokens())
 	lanes := s.lanesOf(r.Target)
-	lanes.offered(now, r, account)
+	lanes.recordOffer(now, r, account)
 	pool := s.table.Pool(r.Target)
 	if err := s.admit(now, r, account, pool); err != nil {
 		s.refuse(r, err)
@@ -29,7 +30,7 @@
 	j := s.newJob(r, account)
 	j.lane = lanes.byKind[laneFor(r, pool)]
 	j.ticket.Span = j.lane.kind == spanLane
-	if err := s.inTime(now, j, pool); err != nil {
+	if err := s.checkDeadline(now, j, pool); err != nil {
 		s.release(j)
 		s.refuse(r, err)
 		return
@@ -40,7 +41,7 @@
 	s.checkQueued(now, j)
 }
 
-func (l *lanes) offered(now time.Time, r *request.Request, a *admission.Account) {
+func (l *lanes) recordOffer(now time.Time, r *request.Request, a *admission.Account) {
 	if r.Kind != request.Prompt {
 		return
 	}
@@ -61,7 +62,7 @@
 	}
 }
 
-// laneFor says which lane a request belongs to.
+// laneFor returns the lane of a request.
 func laneFor(r *request.Request, pool *routing.Pool) laneKind {
 	switch {
 	case r.Kind == request.Prompt && r.Tokens() > pool.Largest():
@@ -73,12 +74,12 @@
 	}
 }
 
-// admit checks what does not depend on the queues.
+// admit performs the admission checks that do not depend on the queues.
 func (s *Scheduler) admit(now time.Time, r *request.Request, a *admission.Account, pool *routing.Pool) *verdict.Error {
 	if pool == nil || pool.Size() == 0 {
 		return verdict.Refuse(verdict.ReasonNoUpstream, announceInterval, "no fresh upstream serves %s", r.Target)
 	}
-	if err := s.holdable(r, pool); err != nil {
+	if err := s.checkFits(r, pool); err != nil {
 		return err
 	}
 	if within, after := a.Within(now, r.Tokens()); !within {
@@ -87,8 +88,8 @@
 	return nil
 }
 
-// holdable refuses what no engine and no span of engines can ever hold.
-func (s *Scheduler) holdable(r *request.Request, pool *routing.Pool) *verdict.Error {
+// checkFits refuses requests that no engine and no span of engines can hold.
+func (s *Scheduler) checkFits(r *request.Request, pool *routing.Pool) *verdict.Error {
 	if r.Kind != request.Prompt || r.Tokens() <= pool.Largest() {
 		return nil
 	}
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// accept counts an admitted request.
+// accept registers an admitted request and charges its account.
 func (s *Scheduler) accept(now time.Time, j *job) {
 	s.jobs[j.request.ID] = j
 	s.deadlines.push(j)
@@ -111,7 +112,7 @@
 	a.InFlightTokens += j.request.PromptTokens
 }
 
-// enqueue puts the job at its place.
+// enqueue inserts the job into its lane, ordered by arrival.
 func (s *Scheduler) enqueue(j *job) {
 	j.phase = waiting
 	j.ticket.Request = j.request
@@ -127,8 +128,8 @@
 	j.lane.queue.Remove(&j.ticket)
 }
 
-// checkQueued refuses a new request that had to wait while the queue of its
-// class is full.
+// checkQueued refuses a new request that could not be sent at once and exceeds
+// the queue limit of its class.
 func (s *Scheduler) checkQueued(now time.Time, j *job) {
 	if j.phase != waiting || j.request == nil {
 		return
@@ -140,15 +141,15 @@
 	if j.class.waiting <= limit {
 		return
 	}
-	after := s.wait(now, j)
-	s.giveUp(now, j, verdict.Refuse(verdict.ReasonQueueFull, max(s.config.Step, after), "%d requests of class %s wait", limit, j.class.name))
+	after := s.queueWait(now, j)
+	s.fail(now, j, verdict.Refuse(verdict.ReasonQueueFull, max(s.config.Step, after), "%d requests of class %s wait", limit, j.class.name))
 }
 
 func (s *Scheduler) newJob(r *request.Request, a *admission.Account) *job {
 	var j *job
-	if last := len(s.spare) - 1; last >= 0 {
-		j = s.spare[last]
-		s.spare = s.spare[:last]
+	if last := len(s.freeJobs) - 1; last >= 0 {
+		j = s.freeJobs[last]
+		s.freeJobs = s.freeJobs[:last]
 	} else {
 		j = &job{}
 	}
@@ -161,5 +162,5 @@
 func (s *Scheduler) release(j *job) {
 	span := j.span[:0]
 	*j = job{span: span, phase: finished}
-	s.spare = append(s.spare, j)
+	s.freeJobs = append(s.freeJobs, j)
 }
--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -2,8 +2,8 @@
 
 import "celeryport/routing"
 
-// spanPlacement turns the parts of routing into those of an action. Their order is that
-// in which the driver reserves.
+// spanPlacement converts the parts chosen by routing to those of an action.
+// Their order is the order in which the driver reserves memory.
 func spanPlacement(parts []routing.Part) Placement {
 	placement := Placement{Parts: make([]Part, 0, len(parts))}
 	for _, p := range parts {
@@ -19,10 +19,11 @@
 	return Part{Name: n.Name, Incarnation: n.Incarnation, Address: n.Address}
 }
 
-// undivided returns the one part that all undivided placements on a node share. It
-// has no reservation: the engine takes the memory when it runs the request. It
-// is never changed, so a driver may keep it.
-func undivided(n *routing.Node) Placement {
+// singleNodePlacement returns the placement that all single-node sends to a
+// node share. It carries no reservation: the engine allocates the memory when
+// it runs the request. The parts are never modified, so a driver may retain
+// them.
+func singleNodePlacement(n *routing.Node) Placement {
 	if parts, made := n.Shared.([]Part); made {
 		return Placement{Parts: parts}
 	}
--- a/dispatch/predict.go
+++ b/dispatch/predict.go
@@ -8,9 +8,9 @@
 	"celeryport/verdict"
 )
 
-// service predicts the time of the request from the send to the end of the
-// answer, on an upstream that has as much else to do as they all have.
-func (s *Scheduler) service(j *job, pool *routing.Pool) time.Duration {
+// serviceTime predicts the time from the send of the request to the end of its
+// answer, on an upstream with the average load of the pool.
+func (s *Scheduler) serviceTime(j *job, pool *routing.Pool) time.Duration {
 	r := j.request
 	if r.Kind == request.ServiceCall {
 		return s.config.Network
@@ -21,16 +21,17 @@
 		decode = min(decode, pool.BusyDecodeRate())
 	}
 	seconds := float64(r.PromptTokens)/rate + float64(r.OutputTokens)/decode
-	return 2*s.config.Network + j.lane.late + time.Duration(seconds*float64(time.Second))
+	return 2*s.config.Network + j.lane.lateness + time.Duration(seconds*float64(time.Second))
 }
 
-// wait predicts how long a request of this account and lane waits in the queue.
+// queueWait predicts the queueing time of a request of this account and lane.
 // Under fair sharing an organisation waits for its own backlog at its own share
-// of the capacity, or, if that is shorter, for everybody's backlog at all of it.
-func (s *Scheduler) wait(now time.Time, j *job) time.Duration {
+// of the capacity or, if that is shorter, for the total backlog at the full
+// capacity.
+func (s *Scheduler) queueWait(now time.Time, j *job) time.Duration {
 	lane := j.lane
 	if lane.kind == shortLane {
-		return s.shortWait(now, lane)
+		return s.shortQueueWait(now, lane)
 	}
 	pool := s.table.Pool(lane.target)
 	if pool == nil || pool.Rate() == 0 {
@@ -49,23 +50,25 @@
 	return time.Duration(min(all, own) / rate * float64(time.Second))
 }
 
-// shortWait is the time in which as much as waits here was sent lately.
-func (s *Scheduler) shortWait(now time.Time, lane *laneQueue) time.Duration {
+// shortQueueWait returns the time needed to send the queued tokens of the lane at
+// its recent send rate.
+func (s *Scheduler) shortQueueWait(now time.Time, lane *laneQueue) time.Duration {
 	if lane.queue.Len() == 0 {
 		return 0
 	}
-	rate := max(lane.sent.PerSecond(now), 1)
+	rate := max(lane.sendRate.PerSecond(now), 1)
 	return time.Duration(float64(lane.queue.Tokens()) / rate * float64(time.Second))
 }
 
-// minLongCapacity is the part of the capacity that long requests get at least.
+// minLongCapacity is the minimum fraction of the capacity assumed to be
+// available to long requests.
 const minLongCapacity = 0.1
 
-// inTime refuses at once what can't be answered by its deadline.
-func (s *Scheduler) inTime(now time.Time, j *job, pool *routing.Pool) *verdict.Error {
+// checkDeadline refuses a request that is predicted to miss its deadline.
+func (s *Scheduler) checkDeadline(now time.Time, j *job, pool *routing.Pool) *verdict.Error {
 	r := j.request
-	wait := s.wait(now, j)
-	need := wait + s.service(j, pool) + s.config.Margin
+	wait := s.queueWait(now, j)
+	need := wait + s.serviceTime(j, pool) + s.config.Margin
 	remaining := r.Remaining(now)
 	if need <= remaining {
 		return nil
--- a/dispatch/property_test.go
+++ b/dispatch/property_test.go
@@ -12,29 +12,30 @@
 	"celeryport/verdict"
 )
 
-// life follows one request through random calls.
-type life struct {
+// requestState tracks the state of one request through random calls.
+type requestState struct {
 	sent  bool
 	ended int
 }
 
-// Callers leave, engines fail in every way, views change, all in any order. A
-// request that is answered twice shows its caller two answers; one that is never
-// answered leaves its caller waiting; and an account that is not cleared shrinks
-// the fleet a little with each such request, until everything is refused.
-func TestEveryRequestEndsOnceAndLeavesNothingBehind(t *testing.T) {
+// Callers disconnect, engines fail in every way and views change, in random
+// order. A request that ends twice would give its caller two answers, one that
+// never ends would leave its caller waiting, and an account that is not cleared
+// would reduce the usable capacity with each such request until everything is
+// refused.
+func TestEveryRequestEndsOnceAndReleasesItsResources(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newTestScheduler(3)
-		now, lives := epoch, map[string]*life{}
+		now, states := epoch, map[string]*requestState{}
 		for step := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * time.Millisecond)
-			randomCall(t, s, now, step, lives)
-			follow(t, s, lives)
+			randomCall(t, s, now, step, states)
+			checkActions(t, s, states)
 		}
 		now = now.Add(time.Hour)
 		s.Tick(now)
-		follow(t, s, lives)
-		for id, l := range lives {
+		checkActions(t, s, states)
+		for id, l := range states {
 			if l.ended != 1 {
 				t.Fatalf("request %s ended %d times", id, l.ended)
 			}
@@ -43,14 +44,14 @@
 	})
 }
 
-func randomCall(t *rapid.T, s *Scheduler, now time.Time, step int, lives map[string]*life) {
+func randomCall(t *rapid.T, s *Scheduler, now time.Time, step int, states map[string]*requestState) {
 	id := strconv.Itoa(rapid.IntRange(0, step).Draw(t, "id"))
-	l := lives[id]
+	l := states[id]
 	switch rapid.IntRange(0, 7).Draw(t, "call") {
 	case 0, 1:
 		tokens := rapid.SampledFrom([]int{500, 9000, 50_000, 300_000, 900_000}).Draw(t, "tokens")
 		id = strconv.Itoa(step)
-		lives[id] = &life{}
+		states[id] = &requestState{}
 		r := prompt(id, tokens, now)
 		r.NoRepeat = rapid.Bool().Draw(t, "no repeat")
 		r.Deadline = now.Add(10 * time.Minute)
@@ -89,7 +90,7 @@
 	}
 }
 
-func finishRandomly(t *rapid.T, s *Scheduler, now time.Time, id string, l *life) {
+func finishRandomly(t *rapid.T, s *Scheduler, now time.Time, id string, l *requestState) {
 	outcome := Outcome{AnswerTokens: 5}
 	v := rapid.SampledFrom([]verdict.Verdict{verdict.Ran, verdict.NotRun, verdict.MayHaveRun}).Draw(t, "verdict")
 	if v != verdict.Ran {
@@ -104,13 +105,13 @@
 	}
 }
 
-func follow(t *rapid.T, s *Scheduler, lives map[string]*life) {
+func checkActions(t *rapid.T, s *Scheduler, states map[string]*requestState) {
 	for _, a := range take(s) {
-		l := lives[a.Request.ID]
+		l := states[a.Request.ID]
 		switch a.Kind {
 		case Send:
 			if l.ended > 0 || l.sent {
-				t.Fatalf("request %s was sent after its end or twice at a time", a.Request.ID)
+				t.Fatalf("request %s was sent after its end or while another send was in flight", a.Request.ID)
 			}
 			l.sent = true
 		case Refuse:
@@ -123,7 +124,7 @@
 
 func checkEmpty(t *rapid.T, s *Scheduler) {
 	if len(s.jobs) != 0 || len(s.backoffs) != 0 || len(s.deadlines.jobs) != 0 || s.anyWaiting() {
-		t.Fatalf("%d jobs, %d backoffs, %d deadlines are left", len(s.jobs), len(s.backoffs), len(s.deadlines.jobs))
+		t.Fatalf("%d jobs, %d backoffs and %d deadlines remain", len(s.jobs), len(s.backoffs), len(s.deadlines.jobs))
 	}
 	for _, a := range s.ordered {
 		if a.InFlight != 0 || a.InFlightTokens != 0 || a.Waiting != 0 || a.WaitingTokens != 0 || a.SpanTokens != 0 {
@@ -136,6 +137,6 @@
 		}
 	}
 	if n := s.table.InFlight(); n != 0 {
-		t.Fatalf("%d sends are left on the nodes", n)
+		t.Fatalf("%d sends remain on the nodes", n)
 	}
 }
--- a/dispatch/pump.go
+++ b/dispatch/pump.go
@@ -8,7 +8,7 @@
 	"celeryport/routing"
 )
 
-// pump sends what can be sent from all lanes.
+// pump sends all requests that can be sent from all lanes.
 func (s *Scheduler) pump(now time.Time) {
 	for _, l := range s.targets {
 		for _, lane := range l.byKind {
@@ -17,11 +17,12 @@
 	}
 }
 
-// headsTried bounds how many organisations' heads are tried when the first does
-// not fit anywhere.
-const headsTried = 4
+// maxHeadsTried bounds the number of organisations whose head request is tried
+// when earlier heads fit on no node.
+const maxHeadsTried = 4
 
-// pumpLane sends from one lane until the heads of its lines find no place.
+// pumpLane sends requests from one lane until none of the queue heads can be
+// placed.
 func (s *Scheduler) pumpLane(now time.Time, lane *laneQueue) {
 	s.table.Expire(now)
 	pool := s.table.Pool(lane.target)
@@ -29,8 +30,8 @@
 		return
 	}
 	for lane.queue.Len() > 0 {
-		s.heads = lane.queue.Heads(now, s.byShare(now, lane, pool), s.heads[:0])
-		if !s.sendOne(now, pool, lane, s.heads) {
+		s.tickets = lane.queue.Heads(now, s.servedByShare(now, lane, pool), s.tickets[:0])
+		if !s.sendOne(now, pool, lane, s.tickets) {
 			return
 		}
 	}
@@ -39,7 +40,7 @@
 func (s *Scheduler) sendOne(now time.Time, pool *routing.Pool, lane *laneQueue, heads []*admission.Ticket) bool {
 	least, waits := s.leastWaitingShare(now, lane, pool)
 	for i, t := range heads {
-		if i == headsTried || heldBack(now, t, least, waits) {
+		if i == maxHeadsTried || yieldsPlace(now, t, least, waits) {
 			return false
 		}
 		if s.place(now, pool, t.Value.(*job)) {
@@ -49,56 +50,56 @@
 	return false
 }
 
-// place sends the job if there is a place for it.
+// place sends the job if a node has room for it.
 func (s *Scheduler) place(now time.Time, pool *routing.Pool, j *job) bool {
 	if j.lane.kind == spanLane {
 		return s.placeSpan(now, pool, j)
 	}
-	a := s.ask(j)
-	choice, found := s.choose(now, pool, &a, j)
+	need := s.requirements(j)
+	choice, found := s.choose(now, pool, &need, j)
 	if !found {
 		return false
 	}
 	s.dequeue(j)
-	j.send = routing.Send{At: now, Prefill: a.Prefill - choice.Cached, Memory: a.Memory, Long: a.Long, Lead: true}
+	j.send = routing.Send{At: now, Prefill: need.Prefill - choice.Cached, Memory: need.Memory, Long: need.Long, Lead: true}
 	choice.Node.Begin(&j.send)
-	j.placement = undivided(choice.Node)
-	s.sent(now, j, choice.FirstToken())
+	j.placement = singleNodePlacement(choice.Node)
+	s.emitSend(now, j, choice.FirstToken())
 	return true
 }
 
-func (s *Scheduler) ask(j *job) routing.Ask {
+func (s *Scheduler) requirements(j *job) routing.Requirements {
 	r := j.request
-	a := routing.Ask{Long: r.Long, Avoid: j.avoid}
+	need := routing.Requirements{Long: r.Long, Avoid: j.avoid}
 	if r.Kind == request.Prompt {
-		a.Prefill = r.PromptTokens
-		a.Memory = r.Tokens()
-		a.PrefixHash = r.PrefixHash
-		a.PrefixTokens = r.PrefixTokens
+		need.Prefill = r.PromptTokens
+		need.Memory = r.Tokens()
+		need.PrefixHash = r.PrefixHash
+		need.PrefixTokens = r.PrefixTokens
 	} else {
-		a.InFlight = s.services[r.Target]
+		need.InFlight = s.services[r.Target]
 	}
-	return a
+	return need
 }
 
-func (s *Scheduler) choose(now time.Time, pool *routing.Pool, a *routing.Ask, j *job) (routing.Choice, bool) {
-	if !j.request.NoRepeat && !a.Long {
-		if probe, found := pool.Probe(now, a); found {
+func (s *Scheduler) choose(now time.Time, pool *routing.Pool, need *routing.Requirements, j *job) (routing.Choice, bool) {
+	if !j.request.NoRepeat && !need.Long {
+		if probe, found := pool.Probe(now, need); found {
 			j.probe = true
 			return probe, true
 		}
 	}
 	if j.lane.kind == longLane {
-		a.Overdue = overdue(now, j.request) && large(j.request, pool)
-		choice, found := pool.ChooseLong(now, s.random, a, aged(now, j.request))
+		need.Overdue = overdue(now, j.request) && isLarge(j.request, pool)
+		choice, found := pool.ChooseLong(now, s.random, need, aged(now, j.request))
 		return choice, found && choice.Wait <= s.longWindow(now, j.request)
 	}
-	choice, found := pool.Choose(now, s.random, a)
+	choice, found := pool.Choose(now, s.random, need)
 	return choice, found && choice.Wait <= s.config.ShortWindow
 }
 
-// longWindow is the queued prefill behind which a long request is sent. An aged
-// one goes before most of it.
+// longWindow returns the maximum queued prefill behind which a long request is
+// sent. An aged request has priority over most of that prefill.
 func (s *Scheduler) longWindow(now time.Time, r *request.Request) time.Duration {
 	if aged(now, r) {
 		return s.config.AgedWindow
@@ -122,12 +123,12 @@
 		j.span = append(j.span, send)
 	}
 	j.placement = spanPlacement(parts)
-	s.sent(now, j, choice.FirstToken())
+	s.emitSend(now, j, choice.FirstToken())
 	return true
 }
 
-// sent gives the Send action of a job that has its placement.
-func (s *Scheduler) sent(now time.Time, j *job, firstToken time.Duration) {
+// emitSend emits the Send action of a placed job.
+func (s *Scheduler) emitSend(now time.Time, j *job, firstToken time.Duration) {
 	j.phase = running
 	j.attempts++
 	j.request.Attempt++
@@ -135,7 +136,7 @@
 	j.predicted = firstToken
 	j.charged = float64(j.tokens())
 	j.account.Usage.Add(now, j.charged)
-	j.lane.sent.Add(now, float64(j.request.PromptTokens))
+	j.lane.sendRate.Add(now, float64(j.request.PromptTokens))
 	s.actions = append(s.actions, Action{
 		Kind:      Send,
 		Request:   j.request,
@@ -145,24 +146,25 @@
 	})
 }
 
-// lengthPriority lifts every short request above every long one on the engine,
-// and every small one above both.
+// lengthPriority is the priority offset on the engine that ranks every short
+// request above every long one, and every small one above both.
 const lengthPriority = 1000
 
-// agedPart is the part of its time after which a waiting long request counts as
-// aged.
-const agedPart = 0.25
+// agedFraction is the fraction of the time up to its deadline after which a
+// waiting long request counts as aged.
+const agedFraction = 0.25
 
-// aged says that a long request has waited so long that it must get on. Without
-// it a flood of short requests, which are always before it on the engines, would
-// hold it until its deadline.
+// aged reports whether a long request has waited so long that its priority must
+// be raised. Otherwise a flood of short requests, which always precede it on
+// the engines, would hold it until its deadline.
 func aged(now time.Time, r *request.Request) bool {
-	return r.Long && now.Sub(r.Arrival) > time.Duration(agedPart*float64(r.Deadline.Sub(r.Arrival)))
+	return r.Long && now.Sub(r.Arrival) > time.Duration(agedFraction*float64(r.Deadline.Sub(r.Arrival)))
 }
 
-// enginePriority is the priority on the engine: length first, then class. A long
-// prompt gives way at the next iteration to any short one, whatever their
-// classes are: it loses milliseconds, while the short one would lose seconds.
+// enginePriority returns the priority on the engine: length first, then class.
+// A long prompt yields to any short one at the next iteration, whatever their
+// classes: this costs it milliseconds, while waiting would cost the short one
+// seconds.
 func enginePriority(now time.Time, r *request.Request) int {
 	switch {
 	case aged(now, r):
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -6,29 +6,30 @@
 	"celeryport/verdict"
 )
 
-// mayRetry returns nil if the request may be sent again, else what to tell the
-// caller. Sending again what may have run could double its effect, and sending
-// again without a budget multiplies the load of a failing fleet.
-func (s *Scheduler) mayRetry(now time.Time, j *job, outcome *Outcome, spread bool) *verdict.Error {
+// checkRetry returns nil if the request may be sent again, and otherwise the
+// error to return to the caller. Resending a request that may have run could
+// duplicate its effect, and resending without a budget multiplies the load of a
+// failing fleet.
+func (s *Scheduler) checkRetry(now time.Time, j *job, outcome *Outcome, spread bool) *verdict.Error {
 	err := outcome.Err
-	if !repeatable(j, outcome) {
+	if !safeToRetry(j, outcome) {
 		return err
 	}
-	if s.hopeless(now, j) {
+	if s.unservable(now, j) {
 		return err
 	}
-	// A span that did not get its memory cost the fleet nothing.
+	// A span whose reservation was denied did not consume any capacity.
 	if spread && err.Verdict == verdict.NotRun {
 		return nil
 	}
 	if !j.account.Budget.Spend() {
-		return exhausted(j, err)
+		return budgetExhausted(j, err)
 	}
 	return nil
 }
 
-// repeatable says whether a second send can do no harm.
-func repeatable(j *job, outcome *Outcome) bool {
+// safeToRetry reports whether a second send is safe.
+func safeToRetry(j *job, outcome *Outcome) bool {
 	if outcome.Err.Verdict == verdict.NotRun {
 		return true
 	}
@@ -38,14 +39,14 @@
 	return !outcome.Delivered || outcome.Resumable
 }
 
-func exhausted(j *job, err *verdict.Error) *verdict.Error {
-	refusal := verdict.Wrap(err, j.worst(err.Verdict), verdict.ReasonRetryBudget, "too many failures to try again")
+func budgetExhausted(j *job, err *verdict.Error) *verdict.Error {
+	refusal := verdict.Wrap(err, j.overallVerdict(err.Verdict), verdict.ReasonRetryBudget, "too many failures to try again")
 	refusal.RetryAfter = time.Second
 	return refusal
 }
 
-// backOff puts the job aside until its backoff is over.
-func (s *Scheduler) backOff(now time.Time, j *job) {
+// scheduleRetry delays the next attempt of the job.
+func (s *Scheduler) scheduleRetry(now time.Time, j *job) {
 	limit := min(s.config.BackoffMax, s.config.BackoffBase<<min(j.attempts-1, 10))
 	j.phase = delayed
 	j.resumesAt = now.Add(limit/2 + time.Duration(s.random.Int64N(int64(limit/2)+1)))
@@ -64,8 +65,9 @@
 	}
 }
 
-// resume puts the jobs whose backoff is over back at their old places.
-func (s *Scheduler) resume(now time.Time) {
+// requeueDelayed requeues the jobs whose backoff has ended at their original
+// positions.
+func (s *Scheduler) requeueDelayed(now time.Time) {
 	kept := s.backoffs[:0]
 	for _, j := range s.backoffs {
 		if now.Before(j.resumesAt) {
--- a/dispatch/retry_test.go
+++ b/dispatch/retry_test.go
@@ -9,10 +9,10 @@
 	"celeryport/verdict"
 )
 
-// Every engine breaks its connections. Without a budget each request is sent
-// again and again, and the fleet gets a multiple of the load that it already
-// can't carry; callers see ever longer waits instead of a clear refusal.
-func TestAFailingFleetIsNotMultiplied(t *testing.T) {
+// Every engine breaks its connections. Without a retry budget each request is
+// resent repeatedly, which multiplies the load of an overloaded fleet; callers
+// see growing delays instead of a clear refusal.
+func TestRetriesDoNotMultiplyTheLoadOfAFailingFleet(t *testing.T) {
 	s := newTestScheduler(6)
 	s.Configure(epoch, &settings.Tree{Organisations: []settings.Organisation{{Name: "bottega", Weight: 1, RetryRatio: 0.1}}})
 	now, sends, refusals := epoch, 0, 0
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestARetryIsOnlyMadeWhereItCanDoNoHarm(t *testing.T) {
+func TestOnlySafeRetriesAreMade(t *testing.T) {
 	notRun := verdict.New(verdict.NotRun, verdict.ReasonUpstream, "refused")
 	cut := verdict.New(verdict.MayHaveRun, verdict.ReasonUpstream, "cut")
 	cases := []struct {
@@ -52,10 +52,10 @@
 	}{
 		{"not run", false, Outcome{Err: notRun}, true},
 		{"not run, may not be repeated", true, Outcome{Err: notRun}, true},
-		{"unseen", false, Outcome{Err: cut}, true},
-		{"unseen, may not be repeated", true, Outcome{Err: cut}, false},
-		{"half seen", false, Outcome{Err: cut, Delivered: true}, false},
-		{"half seen, resumable", false, Outcome{Err: cut, Delivered: true, Resumable: true}, true},
+		{"nothing delivered", false, Outcome{Err: cut}, true},
+		{"nothing delivered, may not be repeated", true, Outcome{Err: cut}, false},
+		{"partly delivered", false, Outcome{Err: cut, Delivered: true}, false},
+		{"partly delivered, resumable", false, Outcome{Err: cut, Delivered: true, Resumable: true}, true},
 	}
 	for _, c := range cases {
 		s := newTestScheduler(4)
@@ -77,10 +77,10 @@
 	}
 }
 
-// A call was cut after it may have run, is retried, and the second engine
-// refuses it. If the caller were then told that it was not run, it would send the
-// order once more and the cloth would be cut twice.
-func TestARefusalAfterASendThatMayHaveRunSaysSo(t *testing.T) {
+// A call is cut off after it may have run, is retried, and the second engine
+// refuses it. If the refusal said that the call was not run, the caller would
+// send it again and its effect would be duplicated.
+func TestRefusalAfterASendThatMayHaveRunIsNotReportedAsNotRun(t *testing.T) {
 	s := newTestScheduler(4)
 	s.Offer(epoch, prompt("a", 1000, epoch))
 	take(s)
@@ -102,10 +102,10 @@
 	t.Fatal("no final answer")
 }
 
-// An audit comes back from a dead engine while ten younger ones wait. Queued at
-// the end, it would wait for all of them, and its caller would see a place in
-// line lost through no fault of its own.
-func TestARequeuedRequestKeepsItsPlace(t *testing.T) {
+// A request returns from a failed engine while ten younger ones wait. If it
+// were queued at the end, it would wait for all of them and lose its position
+// through no fault of its caller.
+func TestRequeuedRequestKeepsItsPosition(t *testing.T) {
 	s := newTestScheduler(1)
 	first := prompt("first", 100_000, epoch)
 	s.Offer(epoch, first)
@@ -129,5 +129,5 @@
 			return
 		}
 	}
-	t.Fatalf("another one was sent before it")
+	t.Fatalf("a younger request was sent before it")
 }
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -25,22 +25,22 @@
 	lanes    map[string]*lanes
 	targets  []*lanes // in order of creation
 	spans    map[string]bool
-	services map[string]int // calls in flight on one upstream
-
-	jobs      map[string]*job
-	deadlines deadlines
-	backoffs  []*job
-	spare     []*job
-	actions   []Action
-	taken     bool // the actions were handed out
-	lastStep  time.Time
-	heads     []*admission.Ticket
+	services map[string]int // limit of calls in flight on one upstream, by service
+
+	jobs            map[string]*job
+	deadlines       deadlines
+	backoffs        []*job
+	freeJobs        []*job
+	actions         []Action
+	actionsReturned bool // the actions were returned by Actions
+	lastStep        time.Time
+	tickets         []*admission.Ticket
 }
 
 var _ Dispatcher = (*Scheduler)(nil)
 
-// New returns a scheduler that knows no upstreams and no settings yet. It draws
-// all randomness from the source.
+// New returns a scheduler without upstreams and settings. All random choices
+// are drawn from random.
 func New(cfg Config, random *rand.Rand) *Scheduler {
 	return &Scheduler{
 		config:   cfg.withDefaults(),
@@ -108,16 +108,16 @@
 // Actions implements Dispatcher.
 func (s *Scheduler) Actions() []Action {
 	s.begin()
-	s.taken = true
+	s.actionsReturned = true
 	return s.actions
 }
 
-// begin starts a call: actions that were handed out are forgotten.
+// begin starts a call and discards actions that were already returned.
 func (s *Scheduler) begin() {
-	if s.taken {
+	if s.actionsReturned {
 		clear(s.actions)
 		s.actions = s.actions[:0]
-		s.taken = false
+		s.actionsReturned = false
 	}
 }
 
--- a/dispatch/scheduler_test.go
+++ b/dispatch/scheduler_test.go
@@ -15,7 +15,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// engines returns a view of fresh idle engines as of the time.
+// engines returns a snapshot of fresh idle engines at the given time.
 func engines(now time.Time, count int, change ...func(i int, u *upstream.Upstream)) *upstream.Snapshot {
 	list := make([]upstream.Upstream, count)
 	for i := range list {
@@ -52,7 +52,7 @@
 // take copies the actions, which are valid only until the next call.
 func take(s Dispatcher) []Action { return append([]Action(nil), s.Actions()...) }
 
-func TestAShortPromptIsSentAtOnceAndEndsWithItsAnswer(t *testing.T) {
+func TestShortPromptIsSentAtOnceAndEndsWithItsAnswer(t *testing.T) {
 	s := newTestScheduler(3)
 	r := prompt("a", 1000, epoch)
 	s.Offer(epoch, r)
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestAPromptThatNobodyCanAnswerInTimeIsRefusedAtOnce(t *testing.T) {
+func TestPromptThatCannotMeetItsDeadlineIsRefusedAtOnce(t *testing.T) {
 	s := newTestScheduler(3)
 	r := prompt("a", 300_000, epoch)
 	r.Deadline = epoch.Add(5 * time.Second)
@@ -82,9 +82,9 @@
 	}
 }
 
-// A connection breaks after the engine has read the call. Sending it again could
-// book the same fabric twice, and the client would see two invoices.
-func TestACallThatMayNotBeRepeatedIsNeverSentTwice(t *testing.T) {
+// A connection breaks after the engine has read the call. Sending the call
+// again could duplicate its effect.
+func TestNonRepeatableCallIsNeverSentTwice(t *testing.T) {
 	s := newTestScheduler(3)
 	r := prompt("a", 1000, epoch)
 	r.NoRepeat = true
--- a/dispatch/span_wait.go
+++ b/dispatch/span_wait.go
@@ -7,12 +7,13 @@
 	"celeryport/routing"
 )
 
-// spanPatience is how long a span looks for memory by itself before the first
-// nodes of the lane are cleared for it. Clearing costs the long lane a part of
-// its nodes, and most spans find room without it.
-const spanPatience = 15 * time.Second
+// spanClearingDelay is how long a span waits for free memory before the first
+// nodes of the lane are cleared for it. Clearing takes a part of its nodes from
+// the long lane, and most spans find memory without it.
+const spanClearingDelay = 15 * time.Second
 
-// countOverdueSpans measures what waits for memory for longer than that.
+// countOverdueSpans updates, per account, the prompt tokens that have waited
+// for memory for longer than spanClearingDelay.
 func (s *Scheduler) countOverdueSpans(now time.Time) {
 	for _, a := range s.ordered {
 		a.OverdueSpans = 0
@@ -23,29 +24,31 @@
 }
 
 func (s *Scheduler) countOverdueOf(now time.Time, l *lanes) {
-	s.heads = l.byKind[spanLane].queue.All(s.heads[:0])
+	s.tickets = l.byKind[spanLane].queue.All(s.tickets[:0])
 	pool := s.table.Pool(l.byKind[longLane].target)
 	if pool != nil && !s.contended(now, pool) {
-		s.heads = l.byKind[longLane].queue.All(s.heads)
+		s.tickets = l.byKind[longLane].queue.All(s.tickets)
 	}
-	for _, t := range s.heads {
-		if overdue(now, t.Request) && (t.Span || large(t.Request, pool)) {
+	for _, t := range s.tickets {
+		if overdue(now, t.Request) && (t.Span || isLarge(t.Request, pool)) {
 			t.Account.OverdueSpans += t.Request.PromptTokens
 		}
 	}
 }
 
-// overdue says that the request has looked for memory for long enough.
+// overdue reports whether the request has waited for memory for longer than
+// spanClearingDelay.
 func overdue(now time.Time, r *request.Request) bool {
-	return now.Sub(r.Arrival) > spanPatience
+	return now.Sub(r.Arrival) > spanClearingDelay
 }
 
-// largePart is the part of a node's memory from which a long prompt counts as
-// large: beside another long one it finds no room, so that later and smaller ones
-// go before it again and again. Nodes are cleared for it as for a span, but not
-// while the fleet is contended: then every cleared node is a refused prompt.
-const largePart = 0.4
+// largeFraction is the fraction of a node's memory from which a long prompt
+// counts as large: it does not fit beside another long prompt, so that later
+// and smaller ones repeatedly overtake it. Nodes are cleared for it as for a
+// span, but not while the fleet is contended: then every cleared node means a
+// refused prompt.
+const largeFraction = 0.4
 
-func large(r *request.Request, pool *routing.Pool) bool {
-	return float64(r.Tokens()) > largePart*float64(pool.Largest())
+func isLarge(r *request.Request, pool *routing.Pool) bool {
+	return float64(r.Tokens()) > largeFraction*float64(pool.Largest())
 }
--- a/dispatch/tick.go
+++ b/dispatch/tick.go
@@ -11,22 +11,22 @@
 func (s *Scheduler) Tick(now time.Time) {
 	s.begin()
 	s.expire(now)
-	s.resume(now)
+	s.requeueDelayed(now)
 	if now.Sub(s.lastStep) >= s.config.Step {
 		s.lastStep = now
-		s.dropHopeless(now)
+		s.refuseUnservable(now)
 		s.countOverdueSpans(now)
 		s.readmit(now)
 	}
 	s.pump(now)
 }
 
-// expire gives every request whose deadline has passed its final answer.
+// expire ends every request whose deadline has passed.
 func (s *Scheduler) expire(now time.Time) {
 	for j := s.deadlines.due(now); j != nil; j = s.deadlines.due(now) {
 		err := verdict.Refuse(verdict.ReasonDeadline, s.config.Step, "the deadline passed in the queue")
 		if j.phase == running {
-			s.blameForSilence(now, j)
+			s.recordServiceTimeout(now, j)
 			s.cancel(j)
 			s.endSends(j)
 			j.mayHaveRun = true
@@ -34,68 +34,68 @@
 		if j.mayHaveRun {
 			err = verdict.New(verdict.MayHaveRun, verdict.ReasonTimeout, "the deadline passed after it was sent")
 		}
-		s.giveUp(now, j, err)
+		s.fail(now, j, err)
 	}
 }
 
-// blameForSilence counts a deadline that passed against a plain service. Engines
-// send heartbeats, and the driver reports their silence long before; a long
-// prompt that did not get its turn in time is no fault of theirs.
-func (s *Scheduler) blameForSilence(now time.Time, j *job) {
+// recordServiceTimeout counts a passed deadline as a failure of a plain service.
+// Engines send heartbeats, so the driver reports their silence much earlier; a
+// long prompt that was not scheduled in time is not a fault of its engine.
+func (s *Scheduler) recordServiceTimeout(now time.Time, j *job) {
 	if j.request.Kind != request.ServiceCall {
 		return
 	}
-	s.blame(now, j, verdict.New(verdict.MayHaveRun, verdict.ReasonTimeout, "no answer before the deadline"))
+	s.recordFailure(now, j, verdict.New(verdict.MayHaveRun, verdict.ReasonTimeout, "no answer before the deadline"))
 }
 
-// dropHopeless refuses requests that wait, in a queue or for their backoff, and
-// can't be answered in time any more.
-func (s *Scheduler) dropHopeless(now time.Time) {
+// refuseUnservable refuses requests that wait, in a queue or in backoff, and
+// can no longer be answered before their deadline.
+func (s *Scheduler) refuseUnservable(now time.Time) {
 	for _, l := range s.targets {
 		for _, lane := range l.byKind {
-			s.dropFrom(now, lane)
+			s.refuseUnservableQueued(now, lane)
 		}
 	}
-	s.dropDelayed(now)
+	s.refuseUnservableDelayed(now)
 }
 
-func (s *Scheduler) dropFrom(now time.Time, lane *laneQueue) {
+func (s *Scheduler) refuseUnservableQueued(now time.Time, lane *laneQueue) {
 	if lane.queue.Len() == 0 {
 		return
 	}
-	s.heads = lane.queue.All(s.heads[:0])
-	for _, t := range s.heads {
-		s.dropIfHopeless(now, t.Value.(*job))
+	s.tickets = lane.queue.All(s.tickets[:0])
+	for _, t := range s.tickets {
+		s.refuseIfUnservable(now, t.Value.(*job))
 	}
 }
 
-func (s *Scheduler) dropDelayed(now time.Time) {
+func (s *Scheduler) refuseUnservableDelayed(now time.Time) {
 	for i := len(s.backoffs) - 1; i >= 0; i-- {
-		s.dropIfHopeless(now, s.backoffs[i])
+		s.refuseIfUnservable(now, s.backoffs[i])
 	}
 }
 
-func (s *Scheduler) dropIfHopeless(now time.Time, j *job) {
-	if !s.hopeless(now, j) {
+func (s *Scheduler) refuseIfUnservable(now time.Time, j *job) {
+	if !s.unservable(now, j) {
 		return
 	}
-	after := max(s.config.Step, s.wait(now, j))
+	after := max(s.config.Step, s.queueWait(now, j))
 	err := verdict.Refuse(verdict.ReasonDeadline, after, "can't be answered in time any more")
-	err.Verdict = j.worst(err.Verdict)
-	s.giveUp(now, j, err)
+	err.Verdict = j.overallVerdict(err.Verdict)
+	s.fail(now, j, err)
 }
 
-// hopeless says that the request can't be answered in time even if it is sent
-// now.
-func (s *Scheduler) hopeless(now time.Time, j *job) bool {
+// unservable reports whether the request would miss its deadline even if it were
+// sent now.
+func (s *Scheduler) unservable(now time.Time, j *job) bool {
 	need := s.config.Margin
 	if pool := s.table.Pool(j.lane.target); pool != nil {
-		need += s.service(j, pool)
+		need += s.serviceTime(j, pool)
 	}
 	return need > j.request.Remaining(now)
 }
 
-// readmit lets ejected nodes whose time is over take a probe.
+// readmit rebuilds the routing table when an ejected node is due for a probe.
 func (s *Scheduler) readmit(now time.Time) {
 	for _, l := range s.targets {
 		pool := s.table.Pool(l.byKind[0].target)
--- a/routing/choose_long.go
+++ b/routing/choose_long.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// longCandidates is how many lane nodes are compared for a long prompt. Long
-// prompts are few and each occupies its node for seconds, so a closer look
-// costs little and a collision costs much.
+// longCandidates is the number of lane nodes compared for a long prompt. Long
+// prompts are few and each occupies its node for seconds, so comparing more
+// nodes is cheap and a collision is expensive.
 const longCandidates = 4
 
-// ChooseLong returns a node of the long lane, or of the whole pool while there
-// is no lane, or for an aged request.
-func (p *Pool) ChooseLong(now time.Time, random *rand.Rand, a *Ask, aged bool) (Choice, bool) {
-	nodes := p.lane.open()
-	if a.Overdue {
+// ChooseLong returns a node of the long lane. It uses the whole pool if there
+// is no lane, or for an aged request if short prompts crowd the lane.
+func (p *Pool) ChooseLong(now time.Time, random *rand.Rand, r *Requirements, aged bool) (Choice, bool) {
+	nodes := p.lane.available()
+	if r.Overdue {
 		nodes = p.lane.inside()
 	}
 	if p.lane.size == 0 || aged && p.crowded() {
-		nodes = p.open
+		nodes = p.active
 	}
-	return drawLong(now, random, a, nodes)
+	return drawLong(now, random, r, nodes)
 }
 
-func drawLong(now time.Time, random *rand.Rand, a *Ask, nodes []*Node) (Choice, bool) {
+func drawLong(now time.Time, random *rand.Rand, r *Requirements, nodes []*Node) (Choice, bool) {
 	var best Choice
 	if len(nodes) == 0 {
 		return best, false
@@ -32,10 +32,10 @@
 	drawn := 0
 	for i := range min(len(nodes), 2*maxAttempts) {
 		n := nodes[(start+i)%len(nodes)]
-		if !a.fits(n) {
+		if !r.fits(n) {
 			continue
 		}
-		c := a.Consider(now, n)
+		c := r.Predict(now, n)
 		if best.Node == nil || c.score < best.score {
 			best = c
 		}
@@ -47,12 +47,12 @@
 	return best, best.Node != nil
 }
 
-// crowded says that short prompts alone fill the lane: then an aged long prompt
-// has as little chance there as anywhere, and may go to any node.
+// crowded reports whether short prompts alone fill the lane. In that case an
+// aged long prompt gains nothing from the lane and may use any node.
 func (p *Pool) crowded() bool {
 	return p.lane.load.Small+p.lane.load.Middle > crowdedLoad
 }
 
-// crowdedLoad is the load of short prompts from which the lane gives long ones no
-// room of their own.
+// crowdedLoad is the load of short prompts above which the lane has no spare
+// capacity for long ones.
 const crowdedLoad = 0.7
--- a/routing/health.go
+++ b/routing/health.go
@@ -2,56 +2,58 @@
 
 import "time"
 
-// The constants of outlier ejection.
+// Parameters of outlier ejection.
 const (
 	healthGain      = 0.3              // weight of the newest sample
-	failureWeight   = 0.5              // factor for each failure in a row
-	minWeight       = 0.05             // weight of an upstream that only fails
-	ejectAfter      = 3                // failures in a row
-	ejectBase       = time.Second      // first ejection
-	ejectMax        = 30 * time.Second // longest ejection
-	slowRatio       = 4.0              // observed to predicted time that counts as slow
+	failureWeight   = 0.5              // factor per consecutive failure
+	minWeight       = 0.05             // lower bound of the weight
+	ejectAfter      = 3                // consecutive failures before an ejection
+	ejectBase       = time.Second      // duration of the first ejection
+	ejectMax        = 30 * time.Second // maximum duration of an ejection
+	slowRatio       = 4.0              // ratio of observed to predicted time that counts as slow
 	slowFloor       = 500 * time.Millisecond
 	slowWeightFloor = 0.2
 )
 
-// Health is the standing of an upstream with this instance. It answers for
-// faults that reports don't show: an upstream that refuses connections, breaks
-// its protocol, or takes far longer than its reports promise.
+// Health tracks how reliably an upstream answers this instance. It detects
+// faults that load reports do not show: an upstream that refuses connections,
+// violates its protocol, or takes much longer than its reports predict.
 type Health struct {
-	failures int // in a row
-	ejected  int // ejections in a row
-	until    time.Time
-	slowness float64 // smoothed ratio of observed to predicted time, 0: unknown
+	failures     int // consecutive
+	ejections    int // consecutive ejections
+	ejectedUntil time.Time
+	slowness     float64 // smoothed ratio of observed to predicted time; 0 if unknown
 }
 
-// Success notes a whole answer.
+// Success records a complete answer.
 func (h *Health) Success() {
 	h.failures = 0
-	h.ejected = 0
-	h.until = time.Time{}
+	h.ejections = 0
+	h.ejectedUntil = time.Time{}
 }
 
-// Failure notes a failed attempt and says whether the upstream is ejected now.
+// Failure records a failed attempt and reports whether the upstream is now
+// ejected.
 func (h *Health) Failure(now time.Time) bool {
 	h.failures++
-	if h.failures < ejectAfter && h.ejected == 0 {
+	if h.failures < ejectAfter && h.ejections == 0 {
 		return false
 	}
 	return h.eject(now)
 }
 
-// Unreachable notes that nothing could be sent at all; that is proof enough.
+// Unreachable records that no request could be sent, which ejects the upstream
+// immediately.
 func (h *Health) Unreachable(now time.Time) bool { return h.eject(now) }
 
 func (h *Health) eject(now time.Time) bool {
-	span := min(ejectMax, ejectBase<<min(h.ejected, 8))
-	h.until = now.Add(span)
-	h.ejected++
+	span := min(ejectMax, ejectBase<<min(h.ejections, 8))
+	h.ejectedUntil = now.Add(span)
+	h.ejections++
 	return true
 }
 
-// FirstToken compares the time to a first token with its prediction.
+// FirstToken records the time to a first token relative to its prediction.
 func (h *Health) FirstToken(observed, predicted time.Duration) {
 	if observed < slowFloor {
 		observed = min(observed, predicted)
@@ -64,13 +66,15 @@
 	h.slowness += healthGain * (ratio - h.slowness)
 }
 
-// Ejected says whether the upstream gets no work but probes.
-func (h *Health) Ejected(now time.Time) bool { return now.Before(h.until) }
+// Ejected reports whether the upstream currently receives no requests except
+// probes.
+func (h *Health) Ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
-// ProbeDue says whether an ejected upstream may get one request to prove itself.
-func (h *Health) ProbeDue(now time.Time) bool { return h.ejected > 0 && !now.Before(h.until) }
+// ProbeDue reports whether an ejected upstream may receive a probe request.
+func (h *Health) ProbeDue(now time.Time) bool { return h.ejections > 0 && !now.Before(h.ejectedUntil) }
 
-// weight divides the predicted time in comparisons.
+// weight returns the factor by which predicted times are divided in
+// comparisons.
 func (h *Health) weight() float64 {
 	w := 1.0
 	for i := 0; i < h.failures && w > minWeight; i++ {
--- a/routing/naive/place.go
+++ b/routing/naive/place.go
@@ -10,7 +10,7 @@
 	"celeryport/verdict"
 )
 
-// pump sends from the head of the queue until the head finds no place.
+// pump sends requests from the queue until one cannot be placed.
 func (s *Scheduler) pump(now time.Time) {
 	for len(s.queue) > 0 && s.view != nil {
 		i := s.firstReady(now)
@@ -30,19 +30,20 @@
 	return -1
 }
 
-// place sends the job to the next upstream, or spreads it over the next ones.
+// place sends the job to the next upstream in round-robin order, or spreads it
+// over several.
 func (s *Scheduler) place(j *job) bool {
 	fresh := s.fresh(j.request.Target)
 	if len(fresh) == 0 {
 		return false
 	}
 	for range fresh {
-		s.next++
-		u := fresh[s.next%len(fresh)]
-		if u.Slots > 0 && s.flying[u.Name] >= u.Slots {
+		s.position++
+		u := fresh[s.position%len(fresh)]
+		if u.Slots > 0 && s.inFlight[u.Name] >= u.Slots {
 			continue
 		}
-		s.send(j, parts(j.request, fresh, s.next))
+		s.send(j, parts(j.request, fresh, s.position))
 		return true
 	}
 	return false
@@ -58,8 +59,8 @@
 	return fresh
 }
 
-// parts spreads what one engine can't hold over as many of the next ones as are
-// needed, each for all of its memory.
+// parts spreads a request that one engine cannot hold over as many of the next
+// ones as needed, using the whole memory of each.
 func parts(r *request.Request, fresh []*upstream.Announcement, next int) []dispatch.Part {
 	first := fresh[next%len(fresh)]
 	if r.Kind == request.ServiceCall || r.Tokens() <= first.MemoryTokens {
@@ -83,28 +84,28 @@
 	j.placement = dispatch.Placement{Parts: parts}
 	j.request.Attempt++
 	for _, p := range parts {
-		s.flying[p.Name]++
+		s.inFlight[p.Name]++
 	}
 	s.actions = append(s.actions, dispatch.Action{
 		Kind: dispatch.Send, Request: j.request, Attempt: j.request.Attempt, Placement: j.placement,
 	})
 }
 
-// land takes a job out of flight.
-func (s *Scheduler) land(j *job) {
+// endSend marks a job as no longer in flight.
+func (s *Scheduler) endSend(j *job) {
 	j.running = false
 	for _, p := range j.placement.Parts {
-		s.flying[p.Name]--
+		s.inFlight[p.Name]--
 	}
 }
 
-// drop takes a job out of flight, with a cancel, or out of the queue.
-func (s *Scheduler) drop(j *job) {
+// abort cancels a job in flight, or removes it from the queue.
+func (s *Scheduler) abort(j *job) {
 	if j.running {
 		s.actions = append(s.actions, dispatch.Action{
 			Kind: dispatch.Cancel, Request: j.request, Attempt: j.request.Attempt, Placement: j.placement,
 		})
-		s.land(j)
+		s.endSend(j)
 		return
 	}
 	for i, other := range s.queue {
@@ -115,14 +116,14 @@
 	}
 }
 
-func (s *Scheduler) end(j *job, err *verdict.Error) {
+func (s *Scheduler) refuse(j *job, err *verdict.Error) {
 	delete(s.jobs, j.request.ID)
 	s.actions = append(s.actions, dispatch.Action{
 		Kind: dispatch.Refuse, Request: j.request, Attempt: j.request.Attempt, Err: err,
 	})
 }
 
-// overdue lists the jobs whose deadline has passed, in order of their ids.
+// overdue returns the jobs whose deadline has passed, ordered by request ID.
 func (s *Scheduler) overdue(now time.Time) []*job {
 	var due []*job
 	for _, j := range s.jobs {
@@ -134,7 +135,7 @@
 	return due
 }
 
-// memory is the memory of all engines of the target.
+// memory returns the total memory of the fresh engines of the target.
 func (s *Scheduler) memory(target string) int {
 	total := 0
 	if s.view == nil {
--- a/routing/naive/scheduler.go
+++ b/routing/naive/scheduler.go
@@ -1,6 +1,6 @@
-// Package naive is the baseline that every claim of the production policy is
-// measured against: round robin over the upstreams, one queue in order of
-// arrival, no length classes, no priorities, retry on any error.
+// Package naive is the baseline that the production policy is measured against:
+// round robin over the upstreams, one queue in order of arrival, no length
+// classes, no priorities, retries on any error.
 package naive
 
 import (
@@ -14,24 +14,25 @@
 	"celeryport/verdict"
 )
 
-// maxAttempts bounds the retries, so that a request which always fails ends.
+// maxAttempts bounds the attempts of a request, so that one which always fails
+// ends.
 const maxAttempts = 10
 
-// retryPause is the constant wait before a retry.
+// retryPause is the constant backoff before a retry.
 const retryPause = 100 * time.Millisecond
 
 // Scheduler implements dispatch.Dispatcher.
 type Scheduler struct {
-	view    *upstream.Snapshot
-	next    int            // round robin position
-	flying  map[string]int // requests in flight by upstream name
-	queue   []*job
-	jobs    map[string]*job
-	actions []dispatch.Action
-	taken   bool
+	view            *upstream.Snapshot
+	position        int            // round-robin position
+	inFlight        map[string]int // requests in flight by upstream name
+	queue           []*job
+	jobs            map[string]*job
+	actions         []dispatch.Action
+	actionsReturned bool
 }
 
-// job is one request with its progress.
+// job tracks the progress of one request.
 type job struct {
 	request   *request.Request
 	placement dispatch.Placement
@@ -43,7 +44,7 @@
 
 // New returns the baseline policy.
 func New() *Scheduler {
-	return &Scheduler{flying: map[string]int{}, jobs: map[string]*job{}}
+	return &Scheduler{inFlight: map[string]int{}, jobs: map[string]*job{}}
 }
 
 // Configure implements dispatch.Dispatcher; the baseline has no settings.
@@ -62,8 +63,8 @@
 	s.pump(now)
 }
 
-// Offer implements dispatch.Dispatcher. Only what no upstream can ever hold is
-// refused at once.
+// Offer implements dispatch.Dispatcher. It refuses only requests that exceed
+// the memory of all fresh engines.
 func (s *Scheduler) Offer(now time.Time, r *request.Request) {
 	s.begin()
 	if r.Kind == request.Prompt && r.Tokens() > s.memory(r.Target) {
@@ -80,14 +81,14 @@
 // FirstToken implements dispatch.Dispatcher.
 func (s *Scheduler) FirstToken(time.Time, string) {}
 
-// Finish implements dispatch.Dispatcher. Any failure is tried again.
+// Finish implements dispatch.Dispatcher. It retries after any failure.
 func (s *Scheduler) Finish(now time.Time, id string, outcome dispatch.Outcome) {
 	s.begin()
 	j := s.jobs[id]
 	if j == nil || !j.running {
 		return
 	}
-	s.land(j)
+	s.endSend(j)
 	if outcome.Err == nil {
 		delete(s.jobs, id)
 		s.pump(now)
@@ -95,7 +96,7 @@
 	}
 	spread := len(j.placement.Parts) > 1
 	if !spread && j.request.Attempt >= maxAttempts {
-		s.end(j, outcome.Err)
+		s.refuse(j, outcome.Err)
 	} else {
 		j.notBefore = now.Add(retryPause)
 		s.queue = append(s.queue, j)
@@ -110,21 +111,22 @@
 	if j == nil {
 		return
 	}
-	s.drop(j)
+	s.abort(j)
 	delete(s.jobs, id)
 	s.pump(now)
 }
 
-// Tick implements dispatch.Dispatcher: requests whose deadline passed fail.
+// Tick implements dispatch.Dispatcher. It fails requests whose deadline has
+// passed.
 func (s *Scheduler) Tick(now time.Time) {
 	s.begin()
 	for _, j := range s.overdue(now) {
 		running := j.running
-		s.drop(j)
+		s.abort(j)
 		if running {
-			s.end(j, verdict.New(verdict.MayHaveRun, verdict.ReasonTimeout, "the deadline passed"))
+			s.refuse(j, verdict.New(verdict.MayHaveRun, verdict.ReasonTimeout, "the deadline passed"))
 		} else {
-			s.end(j, verdict.Refuse(verdict.ReasonDeadline, time.Second, "the deadline passed"))
+			s.refuse(j, verdict.Refuse(verdict.ReasonDeadline, time.Second, "the deadline passed"))
 		}
 	}
 	s.pump(now)
@@ -136,13 +138,13 @@
 // Actions implements dispatch.Dispatcher.
 func (s *Scheduler) Actions() []dispatch.Action {
 	s.begin()
-	s.taken = true
+	s.actionsReturned = true
 	return s.actions
 }
 
 func (s *Scheduler) begin() {
-	if s.taken {
+	if s.actionsReturned {
 		s.actions = s.actions[:0]
-		s.taken = false
+		s.actionsReturned = false
 	}
 }
--- a/routing/node.go
+++ b/routing/node.go
@@ -1,7 +1,8 @@
-// Package routing chooses upstreams: accounts of what this instance has in
-// flight, load reports corrected for their age, the choice among random
-// candidates, prefix affinity, the long lane, spans, and the ejection of
-// upstreams that answer slowly or wrongly. Its types are pure.
+// Package routing chooses upstreams for requests. It accounts for the requests
+// that this instance has in flight, corrects load reports for their age,
+// compares random candidates, and implements prefix affinity, the long lane,
+// spans, and the ejection of upstreams that answer slowly or incorrectly. Its
+// types are pure.
 package routing
 
 import (
@@ -10,7 +11,7 @@
 	"celeryport/upstream"
 )
 
-// Node is what one instance keeps of one upstream incarnation.
+// Node holds the state that one instance keeps for one upstream incarnation.
 type Node struct {
 	Name         string
 	Incarnation  uint64
@@ -24,92 +25,94 @@
 	report   report
 	prefixes *upstream.Prefixes
 	heardAt  time.Time
-	// freshUntil is when it turns silent even if no newer view comes; zero: never.
+	// freshUntil is when the node turns silent if no newer snapshot arrives;
+	// zero means never.
 	freshUntil time.Time
 	targets    []string
-	seen       uint64 // view revision in which it was present last
-	inLane     bool   // of the long lane of its pool
-	denied     bool   // refused a part of a span since its last report
+	revision   uint64 // last view revision that contained the node
+	inLane     bool   // part of the long lane of its pool
+	denied     bool   // denied a span reservation since its last report
 
-	inFlight int
-	sends    []*Send // in flight, in no order
-	newer    load    // own sends that the report can't know yet
-	known    load    // own sends that the report knows
+	inFlight   int
+	sends      []*Send // in flight, unordered
+	unreported load    // own sends made after the report was measured
+	reported   load    // own sends included in the report
 
-	// Shared is of the owner of the table: what it keeps for each node.
+	// Shared holds data that the owner of the table attaches to the node.
 	Shared any
 }
 
-// Part names one upstream of a placement.
+// Part is the portion of a placement on one node.
 type Part struct {
 	Node   *Node
 	Tokens int
 	Lead   bool
 }
 
-// load is work of one kind of requests on an upstream.
+// load sums a set of sends to one node.
 type load struct {
 	count  int // requests
-	short  int // prompt tokens without a first token, of short prompts
-	long   int // the same of long prompts
-	memory int // tokens held or to be held
+	short  int // prompt tokens of short prompts that are still prefilling
+	long   int // prompt tokens of long prompts that are still prefilling
+	memory int // tokens held or reserved
 }
 
 // Send is one request, or one part of a span, that this instance has in flight
 // on a node.
 type Send struct {
-	At       time.Time
-	Prefill  int // prompt tokens that were expected to be prefilled
-	Memory   int
-	Long     bool
-	Lead     bool
-	node     *Node
-	position int // in node.sends
-	newer    bool
-	started  bool // first token arrived
+	At         time.Time
+	Prefill    int // prompt tokens expected to be prefilled
+	Memory     int
+	Long       bool
+	Lead       bool
+	node       *Node
+	position   int // in node.sends
+	unreported bool
+	started    bool // first token arrived
 }
 
-// Node returns where the request was sent.
+// Node returns the node that the request was sent to.
 func (s *Send) Node() *Node { return s.node }
 
-// InFlight is the number of own requests on the node.
+// InFlight returns the number of this instance's requests on the node.
 func (n *Node) InFlight() int { return n.inFlight }
 
-// running estimates the requests of all instances on the node.
+// running estimates the number of requests of all instances on the node.
 func (n *Node) running() int {
-	return max(n.report.running, n.known.count) + n.newer.count
+	return max(n.report.running, n.reported.count) + n.unreported.count
 }
 
-// State is the freshness of the node in the last view.
+// State returns the freshness of the node in the last snapshot.
 func (n *Node) State() upstream.State { return n.state }
 
-// Deny notes that the node may have refused a part of a span, so that its report
-// is wrong about its memory. It is not asked again before the next report.
-func (n *Node) Deny() { n.denied = true }
+// MarkDenied records that the node may have denied a span reservation, so that
+// its report of free memory is wrong. The node is not chosen for spans again
+// before its next report.
+func (n *Node) MarkDenied() { n.denied = true }
 
-// Begin accounts for a send to the node.
+// Begin registers a send to the node.
 func (n *Node) Begin(s *Send) {
 	s.node = n
-	s.newer = true
+	s.unreported = true
 	s.started = false
 	s.position = len(n.sends)
 	n.sends = append(n.sends, s)
 	n.inFlight++
-	n.newer.add(s, 1)
+	n.unreported.add(s, 1)
 }
 
-// FirstToken ends the prefill of a send.
+// FirstToken marks the prefill of a send as finished.
 func (n *Node) FirstToken(s *Send) {
 	if s.started {
 		return
 	}
-	n.side(s).prefilled(s)
+	n.loadOf(s).prefilled(s)
 	s.started = true
 }
 
-// End forgets a send.
+// End removes a send from the node.
 func (n *Node) End(s *Send) {
-	n.side(s).add(s, -1)
+	n.loadOf(s).add(s, -1)
 	last := len(n.sends) - 1
 	n.sends[s.position] = n.sends[last]
 	n.sends[s.position].position = s.position
@@ -119,11 +122,11 @@
 	s.node = nil
 }
 
-func (n *Node) side(s *Send) *load {
-	if s.newer {
-		return &n.newer
+func (n *Node) loadOf(s *Send) *load {
+	if s.unreported {
+		return &n.unreported
 	}
-	return &n.known
+	return &n.reported
 }
 
 func (l *load) add(s *Send, sign int) {
@@ -147,8 +150,8 @@
 	}
 }
 
-// observe takes a newer announcement. Sends from before the measurement are in
-// the report from now on.
+// observe applies a newer announcement. Sends made before the new measurement
+// are included in its report from then on.
 func (n *Node) observe(u *upstream.Upstream) {
 	a := &u.Announcement
 	n.Address = a.Address
@@ -166,10 +169,10 @@
 	n.report = newReport(&a.Load, u.LoadAt)
 	n.denied = false
 	for _, s := range n.sends {
-		if s.newer && !s.At.After(u.LoadAt) {
-			n.newer.add(s, -1)
-			s.newer = false
-			n.known.add(s, 1)
+		if s.unreported && !s.At.After(u.LoadAt) {
+			n.unreported.add(s, -1)
+			s.unreported = false
+			n.reported.add(s, 1)
 		}
 	}
 }
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -12,23 +12,23 @@
 	Target string
 
 	all    []*Node // fresh, ordered by name
-	open   []*Node // of these, those that get work: not ejected
-	probes []*Node // ejected ones whose probe is due
+	active []*Node // nodes of all that are not ejected
+	probes []*Node // ejected nodes whose probe is due
 	ring   ring
 	lane   lane
 
 	sorted     []float64
 	nodeRate   float64
 	decodeRate float64
-	rate       float64   // sum of the prefill rates of open
-	largest    int       // most memory of one node of all
-	memory     int       // sum of the memory of all
-	next       time.Time // when the next ejected node is due for a probe
+	rate       float64   // sum of the prefill rates of open, each capped at nodeRate
+	largest    int       // largest memory of a single node
+	memory     int       // total memory of all
+	nextProbe  time.Time // when the next ejected node is due for a probe
 }
 
-// ejectFraction is the part of a pool that may be ejected at one time. Without
-// the floor a fault that is not the upstreams' own, such as a broken network on
-// this instance, would empty the service.
+// ejectFraction is the maximum fraction of a pool that may be ejected at one
+// time. Without this bound a fault outside the upstreams, such as a broken
+// network on this instance, would eject the whole pool.
 const ejectFraction = 0.34
 
 func newPool(target string) *Pool { return &Pool{Target: target} }
@@ -42,32 +42,32 @@
 }
 
 func (p *Pool) build(now time.Time) {
-	p.open = p.open[:0]
+	p.active = p.active[:0]
 	p.probes = p.probes[:0]
 	p.largest, p.memory = 0, 0
-	p.next = time.Time{}
+	p.nextProbe = time.Time{}
 	canEject := ejectable(len(p.all))
 	for _, n := range p.all {
 		p.largest = max(p.largest, n.MemoryTokens)
 		p.memory += n.MemoryTokens
 		if n.Health.Ejected(now) && canEject > 0 {
 			canEject--
-			p.due(n.Health.until)
+			p.scheduleProbe(n.Health.ejectedUntil)
 			continue
 		}
 		if n.Health.ProbeDue(now) {
 			p.probes = append(p.probes, n)
 			continue
 		}
-		p.open = append(p.open, n)
+		p.active = append(p.active, n)
 	}
 	p.measure()
-	p.ring.build(p.open)
-	p.lane.build(p.Target, p.open)
+	p.ring.build(p.active)
+	p.lane.build(p.Target, p.active)
 }
 
-// ejectable is how many of a pool may be ejected at one time: of two one, since
-// the other can carry on, and never all.
+// ejectable returns how many nodes of a pool may be ejected at one time: one of
+// two, since the other remains available, and never all.
 func ejectable(size int) int {
 	if size < 2 {
 		return 0
@@ -75,50 +75,53 @@
 	return max(1, int(ejectFraction*float64(size)))
 }
 
-func (p *Pool) due(at time.Time) {
-	if p.next.IsZero() || at.Before(p.next) {
-		p.next = at
+func (p *Pool) scheduleProbe(at time.Time) {
+	if p.nextProbe.IsZero() || at.Before(p.nextProbe) {
+		p.nextProbe = at
 	}
 }
 
-// Size is the number of nodes that get work.
-func (p *Pool) Size() int { return len(p.open) + len(p.probes) }
+// Size returns the number of nodes that receive requests, including those due
+// for a probe.
+func (p *Pool) Size() int { return len(p.active) + len(p.probes) }
 
-// Rate is the sum of the measured prefill rates, tokens a second.
+// Rate returns the total prefill rate in tokens per second. Each node counts
+// with at most the median rate.
 func (p *Pool) Rate() float64 { return p.rate }
 
-// NodeRate is the median of the nodes' prefill rates: neither a slow node nor
-// one that leads a span tells what the others do.
+// NodeRate returns the median of the nodes' prefill rates: a slow node or one
+// that leads a span is not representative of the others.
 func (p *Pool) NodeRate() float64 { return p.nodeRate }
 
-// DecodeRate is the median rate of one stream.
+// DecodeRate returns the median decode rate of one stream.
 func (p *Pool) DecodeRate() float64 { return p.decodeRate }
 
-// LaneFree is the part of a lane node's prefill that short prompts leave to long
-// ones.
+// LaneFree returns the fraction of a lane node's prefill rate that short
+// prompts leave to long ones.
 func (p *Pool) LaneFree() float64 {
 	if p.lane.size == 0 {
 		return 1
 	}
-	taken := p.lane.load.Middle * float64(len(p.open)) / float64(p.lane.size)
+	taken := p.lane.load.Middle * float64(len(p.active)) / float64(p.lane.size)
 	return max(minLaneFree, 1-taken)
 }
 
-// minLaneFree bounds how pessimistic the prediction gets.
+// minLaneFree is the lower bound of LaneFree; it limits how pessimistic
+// predictions become.
 const minLaneFree = 0.25
 
-// BusyDecodeRate is the rate of one stream on a node whose every iteration
-// carries a full chunk of prefill, as on a lane node under load.
+// BusyDecodeRate returns the decode rate of one stream on a node whose every
+// iteration contains a full chunk of prefill, as on a lane node under load.
 func (p *Pool) BusyDecodeRate() float64 { return p.nodeRate / iterationTokens }
 
 func (p *Pool) measure() {
 	p.nodeRate, p.decodeRate = defaultPrefillRate, defaultDecodeRate
 	p.rate = 0
-	if len(p.open) == 0 {
+	if len(p.active) == 0 {
 		return
 	}
 	p.sorted = p.sorted[:0]
-	for _, n := range p.open {
+	for _, n := range p.active {
 		p.sorted = append(p.sorted, n.report.rate)
 	}
 	slices.Sort(p.sorted)
@@ -127,27 +130,28 @@
 		p.rate += min(rate, p.nodeRate)
 	}
 	p.sorted = p.sorted[:0]
-	for _, n := range p.open {
+	for _, n := range p.active {
 		p.sorted = append(p.sorted, n.report.decodeRate)
 	}
 	slices.Sort(p.sorted)
 	p.decodeRate = p.sorted[len(p.sorted)/2]
 }
 
-// Largest is the most memory that one node has.
+// Largest returns the memory of the largest node.
 func (p *Pool) Largest() int { return p.largest }
 
-// Memory is the memory of all nodes together.
+// Memory returns the total memory of all nodes.
 func (p *Pool) Memory() int { return p.memory }
 
-// NextProbe is when an ejected node becomes due, or the zero time.
-func (p *Pool) NextProbe() time.Time { return p.next }
+// NextProbe returns when the next ejected node is due for a probe, or the zero
+// time.
+func (p *Pool) NextProbe() time.Time { return p.nextProbe }
 
-// takeProbe hands out one node that is due for a probe. It gets no second
-// request until the first has ended.
-func (p *Pool) takeProbe(a *Ask) *Node {
+// takeProbe returns one node that is due for a probe. A node receives no second
+// request until its probe has ended.
+func (p *Pool) takeProbe(r *Requirements) *Node {
 	for i, n := range p.probes {
-		if n.inFlight == 0 && a.fits(n) {
+		if n.inFlight == 0 && r.fits(n) {
 			p.probes = append(p.probes[:i], p.probes[i+1:]...)
 			return n
 		}
--- a/routing/report.go
+++ b/routing/report.go
@@ -6,21 +6,21 @@
 	"celeryport/upstream"
 )
 
-// defaultPrefillRate is assumed of an upstream that reported no rate yet.
+// defaultPrefillRate is assumed for an upstream that has not reported a rate.
 const defaultPrefillRate = 10_000
 
-// defaultDecodeRate is the same for the tokens of one stream.
+// defaultDecodeRate is assumed for the decode rate of one stream.
 const defaultDecodeRate = 30
 
-// iterationTokens is the usual size of one prefill iteration. A request that
-// arrives while a long prompt is prefilled waits for the iteration under way
-// and shares the next ones, whatever its priority is.
+// iterationTokens is the typical size of one prefill iteration. A request that
+// arrives during the prefill of a long prompt waits for the current iteration
+// and shares the next ones, whatever its priority.
 const iterationTokens = 2048
 
 // report is the last load report of an upstream.
 type report struct {
 	at         time.Time
-	short      float64 // queued prefill that isn't of long prompts under way
+	short      float64 // queued prefill except for long prompts in progress
 	long       float64
 	held       int
 	running    int
@@ -47,39 +47,40 @@
 	return r
 }
 
-// left returns the reported prefill that is still there: what was reported less
-// what the upstream prefills in the age of the report. Without the correction a
-// burst that ended long ago keeps requests away, and all instances run to the
-// one upstream that reported last.
-func (r *report) left(now time.Time) (short, long float64) {
+// remaining returns the reported prefill that remains: the reported amount
+// minus the amount prefilled since the report was measured. Without this
+// correction the queue of a finished burst would keep requests away, and all
+// instances would send to the one upstream that reported last.
+func (r *report) remaining(now time.Time) (short, long float64) {
 	done := r.rate * now.Sub(r.at).Seconds()
 	short = max(0, r.short-done)
 	long = max(0, r.long-max(0, done-r.short))
 	return short, long
 }
 
-// ahead estimates the prefill on the node: the corrected report and the own
-// sends that the report can't know. What this instance itself still waits for
-// is there for sure, whatever the report says.
-func (n *Node) ahead(now time.Time) (short, long float64) {
-	short, long = n.report.left(now)
-	short += float64(n.newer.short)
-	long = max(long, float64(n.known.long)/2) + float64(n.newer.long)
+// queuedPrefill estimates the prefill queued on the node: the corrected report
+// plus the own sends that are newer than the report. Own sends that still wait
+// for their first token count whatever the report says.
+func (n *Node) queuedPrefill(now time.Time) (short, long float64) {
+	short, long = n.report.remaining(now)
+	short += float64(n.unreported.short)
+	long = max(long, float64(n.reported.long)/2) + float64(n.unreported.long)
 	return short, long
 }
 
 // Held estimates the memory in use on the node.
 func (n *Node) Held() int {
-	return max(n.report.held, n.known.memory) + n.newer.memory
+	return max(n.report.held, n.reported.memory) + n.unreported.memory
 }
 
-// Free estimates the memory that is left on the node.
+// Free estimates the free memory on the node.
 func (n *Node) Free() int { return n.MemoryTokens - n.Held() }
 
-// Rate is the measured prefill rate, tokens a second.
+// Rate returns the measured prefill rate in tokens per second.
 func (n *Node) Rate() float64 { return n.report.rate }
 
-// DecodeRate is the measured rate of one stream, tokens a second.
+// DecodeRate returns the measured decode rate of one stream in tokens per
+// second.
 func (n *Node) DecodeRate() float64 { return n.report.decodeRate }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/routing/ring.go
+++ b/routing/ring.go
@@ -6,16 +6,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ringPoints is the number of points of each node on the ring; more points
-// spread the prefixes more evenly.
+// ringPoints is the number of points per node on the ring; more points
+// distribute the prefixes more evenly.
 const ringPoints = 16
 
-// ring is a consistent hash ring: a prefix has the same home node on every
-// instance with the same view, and a node that comes or goes moves only its own
-// part of the prefixes.
+// ring is a consistent hash ring. A prefix has the same home node on every
+// instance with the same view, and a node that joins or leaves moves only its
+// own prefixes.
 type ring struct {
 	points []ringPoint
-	names  []string // of the nodes that it was built of
+	names  []string // names of the nodes that the ring was built from
 }
 
 type ringPoint struct {
@@ -25,7 +25,7 @@
 
 // build rebuilds the ring if the nodes changed.
 func (r *ring) build(nodes []*Node) {
-	if r.same(nodes) {
+	if r.matches(nodes) {
 		return
 	}
 	r.points = r.points[:0]
@@ -40,7 +40,7 @@
 	sort.Slice(r.points, func(i, j int) bool { return r.points[i].hash < r.points[j].hash })
 }
 
-func (r *ring) same(nodes []*Node) bool {
+func (r *ring) matches(nodes []*Node) bool {
 	if len(nodes) != len(r.names) {
 		return false
 	}
@@ -49,21 +49,21 @@
 			return false
 		}
 	}
-	// A restarted upstream keeps its name but is another node.
+	// A restarted upstream keeps its name but is a different node.
 	for _, p := range r.points {
-		if p.node.seen != nodes[0].seen {
+		if p.node.revision != nodes[0].revision {
 			return false
 		}
 	}
 	return true
 }
 
-// homeSteps bounds the walk to a home on the wanted side of the lane.
-const homeSteps = 4 * ringPoints
+// maxHomeSteps bounds the search for a home node on the wanted side of the lane.
+const maxHomeSteps = 4 * ringPoints
 
-// home returns the node of a prefix: the first one on the ring that is inside
-// the long lane, or outside it. A lane that grows by one node moves only the
-// prefixes of that node.
+// home returns the home node of a prefix: the first node on the ring that is
+// inside the long lane if inLane is set, or outside it otherwise. A lane that
+// grows by one node moves only the prefixes of that node.
 func (r *ring) home(hash uint64, inLane bool) *Node {
 	if len(r.points) == 0 {
 		return nil
@@ -78,7 +78,7 @@
 			high = middle
 		}
 	}
-	for i := range min(homeSteps, len(r.points)) {
+	for i := range min(maxHomeSteps, len(r.points)) {
 		if n := r.points[(low+i)%len(r.points)].node; n.inLane == inLane {
 			return n
 		}
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// pool returns a table and the pool of so many engines with the given loads.
+// pool returns a table and its pool of count engines with the given loads.
 func pool(count int, load func(i int) upstream.Load) (*Table, *Pool) {
 	list := make([]upstream.Upstream, count)
 	for i := range list {
@@ -36,10 +36,10 @@
 
 func idle(int) upstream.Load { return upstream.Load{} }
 
-// One engine reports that it is idle, and nine instances see that report at the
-// same moment. If each of them took the best engine, all their prompts would
-// land on it and wait there, while the caller sees idle engines in the report.
-func TestTheEngineThatLastReportedIdleGetsNoHerd(t *testing.T) {
+// One engine reports that it is idle, and nine instances receive that report at
+// the same time. If each of them chose the best engine, all their prompts would
+// queue on it while the other engines stay idle.
+func TestInstancesDoNotHerdToTheEngineLastReportedIdle(t *testing.T) {
 	const instances, each = 9, 4
 	landed := map[string]int{}
 	for seed := range uint64(instances) {
@@ -51,7 +51,7 @@
 		})
 		random := rand.New(rand.NewPCG(seed, 1))
 		for range each {
-			c, found := p.Choose(start, random, &Ask{Prefill: 2000, Memory: 2100})
+			c, found := p.Choose(start, random, &Requirements{Prefill: 2000, Memory: 2100})
 			if !found {
 				t.Fatal("no engine")
 			}
@@ -64,21 +64,21 @@
 	}
 }
 
-// A report is seconds old. Counting its queue as if it were there still keeps
-// prompts away from engines that finished long ago.
-func TestAReportIsCorrectedByItsAge(t *testing.T) {
+// A report is seconds old. If its queue were not reduced by its age, prompts
+// would avoid engines that finished long ago.
+func TestReportIsCorrectedByItsAge(t *testing.T) {
 	_, p := pool(1, func(int) upstream.Load { return upstream.Load{QueuedPrefill: 40_000} })
-	a := Ask{Prefill: 2000, Memory: 2100}
-	fresh := a.Consider(start, p.open[0])
-	aged := a.Consider(start.Add(time.Second), p.open[0])
+	a := Requirements{Prefill: 2000, Memory: 2100}
+	fresh := a.Predict(start, p.active[0])
+	aged := a.Predict(start.Add(time.Second), p.active[0])
 	if fresh.Wait != 2*time.Second || aged.Wait != time.Second {
 		t.Fatalf("waits of %v and a second later %v, want 2s and 1s", fresh.Wait, aged.Wait)
 	}
 }
 
-// The network of one instance breaks, so every engine looks dead to it. If all
-// of them were ejected, the instance would refuse everything for half a minute
-// after the network is back.
+// The network of one instance fails, so every engine appears unreachable to it.
+// If all of them were ejected, the instance would refuse all requests for half
+// a minute after the network recovers.
 func TestEjectionNeverEmptiesAPool(t *testing.T) {
 	table, p := pool(9, idle)
 	for _, n := range p.all {
@@ -90,35 +90,35 @@
 	}
 }
 
-func TestAnEjectedEngineComesBackByAProbe(t *testing.T) {
+func TestEjectedEngineReturnsAfterASuccessfulProbe(t *testing.T) {
 	table, p := pool(4, idle)
-	sick := p.all[2]
-	sick.Health.Unreachable(start)
+	ejected := p.all[2]
+	ejected.Health.Unreachable(start)
 	table.Rebuild(start)
 	if p.Size() != 3 {
 		t.Fatalf("%d engines get work, want 3", p.Size())
 	}
 	later := start.Add(2 * ejectBase)
 	table.Rebuild(later)
-	ask := &Ask{Prefill: 100, Memory: 200}
-	c, found := p.Probe(later, ask)
-	if !found || c.Node != sick {
+	need := &Requirements{Prefill: 100, Memory: 200}
+	c, found := p.Probe(later, need)
+	if !found || c.Node != ejected {
 		t.Fatal("no probe was offered")
 	}
-	if _, again := p.Probe(later, ask); again {
+	if _, again := p.Probe(later, need); again {
 		t.Fatal("a second probe while the first is out")
 	}
-	sick.Health.Success()
+	ejected.Health.Success()
 	table.Rebuild(later)
 	if p.Size() != 4 || len(p.probes) != 0 {
-		t.Fatalf("after a good probe %d engines get work", len(p.open))
+		t.Fatalf("after a good probe %d engines get work", len(p.active))
 	}
 }
 
-// Two spans want the same three engines. If one reserved a, then b, and the other
-// one b, then a, each would hold what the other needs, and both prompts would
-// wait until their leases run out, over and over.
-func TestSpansOfAllInstancesReserveInOneOrder(t *testing.T) {
+// Two spans need the same three engines. If one reserved a before b and the
+// other b before a, each would hold memory that the other one needs, and both
+// would wait until their leases expire, again and again.
+func TestSpansOfAllInstancesReserveInTheSameOrder(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		held := func(int) upstream.Load { return upstream.Load{HeldTokens: random.IntN(200_000)} }
@@ -145,10 +145,10 @@
 	}
 }
 
-// Spans put their lead on the engine with the least to do, which is one that is
-// kept free of long prompts. Small prompts there would wait behind a
-// million-token prefill for most of a minute.
-func TestTheLeadOfASpanIsInTheLongLane(t *testing.T) {
+// The least loaded engine is one that is kept free of long prompts. If a span
+// put its lead there, small prompts would wait behind a million-token prefill
+// for most of a minute.
+func TestLeadOfASpanIsInTheLongLane(t *testing.T) {
 	_, p := pool(9, func(i int) upstream.Load { return upstream.Load{QueuedPrefill: 10_000} })
 	p.SizeLane(quota.Mix{Long: 0.2}, 0, 0)
 	for _, n := range p.lane.outside() {
@@ -166,7 +166,7 @@
 	t.Fatalf("found %v, no lead in the lane", found)
 }
 
-func TestTheLaneFollowsTheLoadAndLeavesRoomForSmallPrompts(t *testing.T) {
+func TestLaneFollowsTheLoadAndLeavesNodesForSmallPrompts(t *testing.T) {
 	cases := []struct {
 		mix     quota.Mix
 		waiting int
@@ -187,10 +187,10 @@
 	}
 }
 
-// Spans wait for whole engines, and long prompts keep coming that each fit into
-// what one span part would need. If the long ones went on using all of the lane,
-// a million-token prompt would try and fail until its deadline.
-func TestNodesAreClearedOfLongPromptsForSpansThatWaited(t *testing.T) {
+// Spans wait for whole engines while long prompts keep arriving that each fit
+// into the memory of one span part. If the long prompts used the whole lane, a
+// million-token prompt would retry until its deadline.
+func TestNodesAreClearedOfLongPromptsForOverdueSpans(t *testing.T) {
 	_, p := pool(9, idle)
 	p.SizeLane(quota.Mix{Long: 0.8}, 0, 900_000)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -199,38 +199,38 @@
 		cleared[n] = true
 	}
 	for range 50 {
-		c, found := p.ChooseLong(start, random, &Ask{Prefill: 100_000, Memory: 100_000, Long: true}, false)
+		c, found := p.ChooseLong(start, random, &Requirements{Prefill: 100_000, Memory: 100_000, Long: true}, false)
 		if !found || cleared[c.Node] {
 			t.Fatalf("found %v, a long prompt on a cleared node", found)
 		}
 	}
 }
 
-func TestTheInstancesSpreadEvenlyOverTheNodesForSmallPrompts(t *testing.T) {
+func TestInstancesSpreadEvenlyOverTheNodesForSmallPrompts(t *testing.T) {
 	owners := map[string]int{}
 	for rank := range 9 {
 		table, p := pool(10, idle)
 		table.SetPeers(rank, 9)
 		p.SizeLane(quota.Mix{Small: 0.05, Long: 0.6}, 0, 0)
-		owners[p.lane.own().Name]++
+		owners[p.lane.ownNode().Name]++
 	}
 	if len(owners) != 3 || slices.Max(slices.Collect(maps.Values(owners))) != 3 {
 		t.Fatalf("nine instances on the three nodes outside the lane: %v", owners)
 	}
 }
 
-func TestAPrefixGoesHomeUnlessItsHomeIsLoaded(t *testing.T) {
+func TestPrefixIsSentToItsHomeNodeUnlessThatIsLoaded(t *testing.T) {
 	_, p := pool(10, idle)
 	random := rand.New(rand.NewPCG(1, 1))
-	ask := &Ask{Prefill: 4000, Memory: 4100, PrefixHash: 77, PrefixTokens: 3000}
-	first, _ := p.Choose(start, random, ask)
+	need := &Requirements{Prefill: 4000, Memory: 4100, PrefixHash: 77, PrefixTokens: 3000}
+	first, _ := p.Choose(start, random, need)
 	for range 20 {
-		if c, _ := p.Choose(start, random, ask); c.Node != first.Node {
+		if c, _ := p.Choose(start, random, need); c.Node != first.Node {
 			t.Fatalf("%s and then %s", first.Node.Name, c.Node.Name)
 		}
 	}
 	first.Node.Begin(&Send{At: start, Prefill: 50_000, Memory: 50_000})
-	if c, _ := p.Choose(start, random, ask); c.Node == first.Node {
+	if c, _ := p.Choose(start, random, need); c.Node == first.Node {
 		t.Fatal("stayed at a home with seconds of work")
 	}
 }
--- a/routing/span.go
+++ b/routing/span.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// spanHeadroom is the part of each node's memory that a span leaves free. The
-// short requests that are on their way to the node, sent before the reservation
-// shows in its report, find room there instead of waiting for the whole span.
+// spanHeadroom is the fraction of each node's memory that a span leaves free.
+// Short requests that were sent to the node before the reservation shows in its
+// report use it instead of waiting for the whole span.
 const spanHeadroom = 0.1
 
-// SpanLimit is the largest prompt with its answer that a span over the whole
-// pool can hold.
+// SpanLimit returns the size, in tokens, of the largest prompt and answer that
+// a span over the whole pool can hold.
 func (p *Pool) SpanLimit() int { return int(float64(p.memory) * (1 - spanHeadroom)) }
 
-// ChooseSpan returns the fewest nodes whose free memory holds the tokens, with
-// the part of each, or false. The parts are ordered by name: every instance
-// reserves in the same order, so two spans that want the same nodes can't hold
-// half of what the other one needs and wait for each other.
+// ChooseSpan returns the smallest set of nodes whose free memory holds the
+// tokens, with the part of each; it returns false if there is none. The parts
+// are ordered by name: every instance reserves in the same order, so two spans
+// on the same nodes cannot deadlock, each holding memory that the other one
+// needs.
 func (p *Pool) ChooseSpan(now time.Time, tokens int) ([]Part, Choice, bool) {
 	nodes := p.spanNodes(now, tokens)
 	if nodes == nil {
@@ -27,29 +28,29 @@
 	left := tokens
 	for i, n := range nodes {
 		share := left / (len(nodes) - i)
-		share = min(share, spanRoom(n))
+		share = min(share, freeForSpan(n))
 		parts[i] = Part{Node: n, Tokens: share}
 		left -= share
 	}
 	for i := 0; left > 0 && i < len(parts); i++ {
-		add := min(left, spanRoom(parts[i].Node)-parts[i].Tokens)
+		add := min(left, freeForSpan(parts[i].Node)-parts[i].Tokens)
 		parts[i].Tokens += add
 		left -= add
 	}
-	lead := leadOf(now, parts)
+	lead := chooseLead(now, parts)
 	parts[lead].Lead = true
-	a := Ask{Prefill: tokens, Memory: parts[lead].Tokens, Long: true}
-	return parts, a.Consider(now, parts[lead].Node), left == 0
+	r := Requirements{Prefill: tokens, Memory: parts[lead].Tokens, Long: true}
+	return parts, r.Predict(now, parts[lead].Node), left == 0
 }
 
-// leadOf is the part whose node prefills the prompt: the one with the least to
-// do in the long lane. A node outside the lane has less to do than any inside,
-// but there the prompt would meet the small ones for most of a minute.
-func leadOf(now time.Time, parts []Part) int {
+// chooseLead returns the index of the part whose node prefills the prompt: the
+// least loaded one in the long lane. A node outside the lane has less load, but
+// there the prompt would delay small ones for most of a minute.
+func chooseLead(now time.Time, parts []Part) int {
 	best, least := -1, 0.0
 	for i := range parts {
 		n := parts[i].Node
-		short, long := n.ahead(now)
+		short, long := n.queuedPrefill(now)
 		work := short + long
 		if !n.inLane {
 			work += outsidePenalty
@@ -61,36 +62,37 @@
 	return best
 }
 
-// outsidePenalty is more tokens than ever wait on a node.
+// outsidePenalty exceeds any number of tokens that can wait on a node.
 const outsidePenalty = 1e9
 
-func byRoom(nodes []*Node) {
-	sort.SliceStable(nodes, func(i, j int) bool { return spanRoom(nodes[i]) > spanRoom(nodes[j]) })
+func sortByRoom(nodes []*Node) {
+	sort.SliceStable(nodes, func(i, j int) bool { return freeForSpan(nodes[i]) > freeForSpan(nodes[j]) })
 }
 
-func spanRoom(n *Node) int {
+func freeForSpan(n *Node) int {
 	if n.denied {
 		return 0
 	}
 	return n.Free() - int(spanHeadroom*float64(n.MemoryTokens))
 }
 
-// leastPart is the smallest part of a node's memory that is worth taking.
-const leastPart = 0.1
+// minPartFraction is the fraction of a node's memory below which its free
+// memory is not used for a span.
+const minPartFraction = 0.1
 
-// spanNodes returns the fewest nodes that together have room, ordered by name.
-// Nodes early in the order of the lane come first among equals, so that spans
-// of all instances look for memory at the same place and leave the rest alone.
+// spanNodes returns the smallest set of nodes with enough free memory, ordered
+// by name. Among equals, nodes that come early in the lane order are preferred,
+// so that spans of all instances use the same nodes and leave the others free.
 func (p *Pool) spanNodes(_ time.Time, tokens int) []*Node {
 	nodes := append([]*Node(nil), p.lane.order...)
 	inside := min(len(nodes), max(p.lane.size, tokens/max(1, p.largest)+2))
-	byRoom(nodes[:inside])
-	byRoom(nodes[inside:])
+	sortByRoom(nodes[:inside])
+	sortByRoom(nodes[inside:])
 	room := 0
 	chosen := nodes[:0]
 	for _, n := range nodes {
-		free := spanRoom(n)
-		if free < int(leastPart*float64(n.MemoryTokens)) {
+		free := freeForSpan(n)
+		if free < int(minPartFraction*float64(n.MemoryTokens)) {
 			continue
 		}
 		room += free
--- a/routing/stale.go
+++ b/routing/stale.go
@@ -7,10 +7,10 @@
 	"celeryport/upstream"
 )
 
-// Expire takes nodes out that have been silent for too long by now. The view may
-// be old: if the control goroutine hangs, or this instance is cut off, no newer
-// one says that an upstream left. Requests would go on to it for as long as that
-// lasts; the time up to which each upstream is fresh bounds it.
+// Expire removes nodes that have been silent for too long. The snapshot may be
+// old: if the control goroutine hangs or this instance is partitioned, no newer
+// snapshot reports that an upstream left. The freshness limit of each upstream
+// bounds how long requests are still sent to it.
 func (t *Table) Expire(now time.Time) {
 	if t.staleAt.IsZero() || !now.After(t.staleAt) {
 		return
@@ -31,7 +31,8 @@
 	return !n.freshUntil.IsZero() && now.After(n.freshUntil)
 }
 
-// nextStale is when the next fresh node turns silent, zero if none does.
+// nextStale returns when the next fresh node turns silent, or zero if none
+// does.
 func (t *Table) nextStale() time.Time {
 	var next time.Time
 	for _, n := range t.nodes {
--- a/routing/table.go
+++ b/routing/table.go
@@ -6,15 +6,16 @@
 	"celeryport/upstream"
 )
 
-// Table holds the nodes of the last view and the pools of those that may get
-// work, one for each target.
+// Table holds the nodes of the last snapshot and, per target, the pool of nodes
+// that are eligible for requests.
 type Table struct {
-	nodes map[nodeKey]*Node
-	pools map[string]*Pool
-	seen  uint64
-	rank  int
-	peers int
-	// staleAt is when the next node turns silent by the present view.
+	nodes    map[nodeKey]*Node
+	pools    map[string]*Pool
+	revision uint64
+	rank     int
+	peers    int
+	// staleAt is when the next node turns silent according to the current
+	// snapshot.
 	staleAt time.Time
 }
 
@@ -28,10 +29,11 @@
 	return &Table{nodes: map[nodeKey]*Node{}, pools: map[string]*Pool{}}
 }
 
-// Observe installs a view. The work is proportional to the number of upstreams
-// and is done once a view, so that a request costs the same in any fleet.
+// Observe installs a snapshot. Its cost is proportional to the number of
+// upstreams and is paid once per snapshot, so that the cost of a request does
+// not depend on the size of the fleet.
 func (t *Table) Observe(now time.Time, view *upstream.Snapshot) {
-	t.seen++
+	t.revision++
 	for _, p := range t.pools {
 		p.clear()
 	}
@@ -39,25 +41,25 @@
 		u := &view.Upstreams[i]
 		n := t.node(u)
 		n.observe(u)
-		n.seen = t.seen
+		n.revision = t.revision
 		for _, target := range n.targets {
 			t.pool(target).add(n)
 		}
 	}
-	t.forget()
+	t.removeGone()
 	t.staleAt = t.nextStale()
 	t.Rebuild(now)
 }
 
-// Rebuild sorts the pools again after a node was ejected.
+// Rebuild recomputes the pools, for example after a node was ejected.
 func (t *Table) Rebuild(now time.Time) {
 	for _, p := range t.pools {
 		p.build(now)
 	}
 }
 
-// SetPeers says which of the live instances this one is. Without it small prompts
-// are spread at random.
+// SetPeers sets the rank of this instance among the live instances. Until it is
+// set, small prompts are distributed at random.
 func (t *Table) SetPeers(rank, peers int) {
 	if t.rank == rank && t.peers == peers || rank >= peers {
 		return
@@ -71,7 +73,7 @@
 // Pool returns the nodes that serve a target, or nil.
 func (t *Table) Pool(target string) *Pool { return t.pools[target] }
 
-// InFlight is the number of own sends on all nodes.
+// InFlight returns the number of this instance's sends on all nodes.
 func (t *Table) InFlight() int {
 	total := 0
 	for _, n := range t.nodes {
@@ -100,10 +102,11 @@
 	return n
 }
 
-// forget drops nodes that are gone and have nothing in flight.
-func (t *Table) forget() {
+// removeGone removes nodes that are no longer in the snapshot and have nothing in
+// flight.
+func (t *Table) removeGone() {
 	for key, n := range t.nodes {
-		if n.seen == t.seen {
+		if n.revision == t.revision {
 			continue
 		}
 		n.state = upstream.Silent
