--- a/throttle/doc.go
+++ b/throttle/doc.go
@@ -1,5 +1,7 @@
-// Package throttle keeps the request rates that upstreams in need name, spreads them among
-// the instances of a fleet, and divides each rate among them.
+// Package throttle keeps the request rates that overloaded upstreams specify,
+// replicates them between the instances of a fleet, and divides each rate among
+// those instances.
 //
-// The package is pure; a driver sends and receives, and asks before it sends a request.
+// The package is pure: its driver sends and receives the messages and consults
+// it before each request.
 package throttle
--- a/throttle/fact.go
+++ b/throttle/fact.go
@@ -6,33 +6,33 @@
 	"celeryport/loadshare"
 )
 
-// Fact says which rate one incarnation of an upstream named last.
+// Fact is the most recent rate that one incarnation of an upstream specified.
 type Fact struct {
 	Upstream loadshare.Key
-	Rate     float64   // requests a second from all instances together; no meaning if not Named
-	Named    bool      // false: it no longer names one
-	At       time.Time // of the answer that said so
+	Rate     float64   // requests per second from all instances together; undefined if not Named
+	Named    bool      // false if the upstream no longer specifies a rate
+	At       time.Time // time of the answer that the fact is taken from
 }
 
-// lifetime is how long a fact counts. An upstream that gets few requests answers seldom,
-// and must not be forgotten between two answers.
+// lifetime returns how long the fact is valid. An upstream that receives few
+// requests answers rarely, and its rate must not expire between two answers.
 func (f *Fact) lifetime() time.Duration {
 	if !f.Named || f.Rate <= 0 {
-		return leastKept
+		return minLifetime
 	}
-	between := time.Duration(answersKept / f.Rate * float64(time.Second))
-	return min(max(leastKept, between), mostKept)
+	between := time.Duration(answersPerLifetime / f.Rate * float64(time.Second))
+	return min(max(minLifetime, between), maxLifetime)
 }
 
 const (
-	leastKept = 30 * time.Second
-	mostKept  = 5 * time.Minute
-	// answersKept is how many answers in a row may be lost, or take long, before the rate
-	// is forgotten.
-	answersKept = 5
+	minLifetime = 30 * time.Second
+	maxLifetime = 5 * time.Minute
+	// answersPerLifetime is how many consecutive answers may be lost or delayed
+	// before the rate expires.
+	answersPerLifetime = 5
 )
 
-// saysMoreThan reports whether a fact is newer and differs.
-func (f *Fact) saysMoreThan(other *Fact) bool {
+// supersedes reports whether f is newer than other and differs from it.
+func (f *Fact) supersedes(other *Fact) bool {
 	return f.At.After(other.At) && (f.Named != other.Named || f.Named && f.Rate != other.Rate)
 }
--- a/throttle/rest.go
+++ b/throttle/rest.go
@@ -3,57 +3,61 @@
 import "time"
 
 const (
-	// MostRest bounds the rest that an upstream may ask for: a wrong value must not take it out
-	// of service for good.
-	MostRest = 5 * time.Minute
-	// restSpread is the part of a rest by which its end differs between instances, and
-	// mostRestSpread bounds it: those that were asked at the same moment don't all come back at
-	// the same moment.
-	restSpread     = 0.25
-	mostRestSpread = time.Second
-	// trialWait is how long after a rest an upstream waits for a request that may be rejected
-	// without harm; then any other finds out whether it accepts them.
+	// MaxRest bounds the rest that an upstream may request, so that an
+	// erroneous value cannot take it out of service permanently.
+	MaxRest = 5 * time.Minute
+	// restSpread is the fraction of a rest by which its end is randomised
+	// between instances, bounded by maxRestSpread, so that instances asked at
+	// the same time do not all resume at the same time.
+	restSpread    = 0.25
+	maxRestSpread = time.Second
+	// trialWait is how long after a rest only requests that may be rejected
+	// without harm are used to test the upstream; after that any request is.
 	trialWait = time.Second
 )
 
-// Rest is what one instance owes an upstream that rejected a request and asked for rest: no
-// request until the end, and then one after the other until the first is accepted. The zero
-// value owes nothing. It is not safe for concurrent use.
+// Rest tracks the rest that an upstream requested from one instance when it
+// rejected a request: no requests until the end of the rest, then one at a time
+// until the first is accepted. The zero value means no rest. It is not safe for
+// concurrent use.
 type Rest struct {
-	until  time.Time
-	unsure bool // no request that was sent after the rest has been accepted yet
+	until    time.Time
+	untested bool // no request sent after the rest has been accepted yet
 }
 
-// Asked takes in that the upstream wants nothing for a time, and returns for how long it gets
-// nothing. draw is uniform in [0, 1).
+// Asked records that the upstream requested a rest, and returns how long no
+// requests are sent to it. draw is uniform in [0, 1).
 func (r *Rest) Asked(now time.Time, wanted time.Duration, draw float64) time.Duration {
-	kept := min(wanted, MostRest)
-	kept += time.Duration(draw * float64(min(mostRestSpread, time.Duration(restSpread*float64(kept)))))
-	if until := now.Add(kept); until.After(r.until) {
+	duration := min(wanted, MaxRest)
+	duration += time.Duration(draw * float64(min(maxRestSpread, time.Duration(restSpread*float64(duration)))))
+	if until := now.Add(duration); until.After(r.until) {
 		r.until = until
 	}
-	r.unsure = true
+	r.untested = true
 	return r.until.Sub(now)
 }
 
-// Holds reports whether the upstream still rests.
+// Holds reports whether the rest is still in effect.
 func (r *Rest) Holds(now time.Time) bool { return now.Before(r.until) }
 
-// Until returns the end of the rest, the zero time if there was none.
+// Until returns the end of the rest, or the zero time if there was none.
 func (r *Rest) Until() time.Time { return r.until }
 
-// Unsure reports whether the rest is over and the upstream has accepted nothing since.
-func (r *Rest) Unsure(now time.Time) bool { return r.unsure && !r.Holds(now) }
+// Unsure reports whether the rest has ended and the upstream has accepted no
+// request since.
+func (r *Rest) Unsure(now time.Time) bool { return r.untested && !r.Holds(now) }
 
-// Overdue reports whether nothing was found out for so long after the rest that any request may.
-func (r *Rest) Overdue(now time.Time) bool { return r.unsure && now.Sub(r.until) >= trialWait }
+// Overdue reports whether the upstream has remained untested for so long after
+// the rest that any request may be used to test it.
+func (r *Rest) Overdue(now time.Time) bool { return r.untested && now.Sub(r.until) >= trialWait }
 
-// Accepted takes in that the upstream accepted a request, and reports whether the upstream may
-// get any number of requests again. One that was sent before the end of the rest says nothing.
+// Accepted records that the upstream accepted a request, and reports whether
+// this lifts the limit on concurrent requests. A request sent before the end of
+// the rest is ignored.
 func (r *Rest) Accepted(sentAt time.Time) bool {
-	if !r.unsure || sentAt.Before(r.until) {
+	if !r.untested || sentAt.Before(r.until) {
 		return false
 	}
-	r.unsure = false
+	r.untested = false
 	return true
 }
--- a/throttle/rest_test.go
+++ b/throttle/rest_test.go
@@ -5,40 +5,42 @@
 	"time"
 )
 
-// Guards against an upstream that a wrong value takes out of service for good.
+// Guards against an upstream that an erroneous value takes out of service
+// permanently.
 func TestRestIsBounded(t *testing.T) {
-	for _, wanted := range []time.Duration{MostRest + time.Second, 1 << 62} {
+	for _, wanted := range []time.Duration{MaxRest + time.Second, 1 << 62} {
 		var r Rest
-		if kept := r.Asked(start, wanted, 0.999); kept > MostRest+mostRestSpread || !r.Holds(start.Add(MostRest-1)) {
-			t.Errorf("of %s %s are kept", wanted, kept)
+		if duration := r.Asked(start, wanted, 0.999); duration > MaxRest+maxRestSpread || !r.Holds(start.Add(MaxRest-1)) {
+			t.Errorf("a requested rest of %s became %s", wanted, duration)
 		}
 	}
 }
 
-// Guards against a rest that a later, shorter wish or an answer to an older request ends early.
-func TestRestLastsUntilTheLastEndThatWasAsked(t *testing.T) {
+// Guards against a rest that is ended early by a later, shorter request for
+// rest or by an answer to an older request.
+func TestRestIsNotEndedEarly(t *testing.T) {
 	var r Rest
 	if r.Holds(start) || r.Unsure(start) {
-		t.Error("an upstream that asked for nothing rests")
+		t.Error("a rest is in effect although none was requested")
 	}
 	r.Asked(start, 3*time.Second, 0)
 	r.Asked(start.Add(time.Second), time.Second, 0)
 	if r.Accepted(start.Add(-time.Second)) || !r.Holds(start.Add(3*time.Second-1)) {
-		t.Error("it ended early")
+		t.Error("the rest ended early")
 	}
 	end := start.Add(3 * time.Second)
 	if r.Holds(end) || !r.Unsure(end) {
-		t.Error("after its end it is not to be tried")
+		t.Error("the upstream is not unsure after the end of its rest")
 	}
 	if r.Accepted(end.Add(-1)) || !r.Unsure(end) {
-		t.Error("a request of before its end says that it accepts requests")
+		t.Error("a request sent before the end of the rest cleared it")
 	}
 	if !r.Accepted(end) || r.Unsure(end) || r.Accepted(end) {
-		t.Error("a request of after its end does not clear it once")
+		t.Error("a request sent after the end of the rest did not clear it exactly once")
 	}
 }
 
-// Guards against instances that come back to an upstream at the same moment.
+// Guards against instances that resume sending to an upstream at the same time.
 func TestRestsEndAtDifferentTimes(t *testing.T) {
 	for wanted, spread := range map[time.Duration]time.Duration{time.Second: 250 * time.Millisecond, time.Minute: time.Second} {
 		var first, last Rest
--- a/throttle/table.go
+++ b/throttle/table.go
@@ -10,14 +10,16 @@
 )
 
 const (
-	// mostFacts bounds a table; the oldest facts are evicted.
-	mostFacts = 1024
-	// settles is how long after an answer that named a rate one without it is not believed.
-	// Answers to different instances overtake each other, and failures may not name it.
-	settles = 2 * time.Second
+	// maxFacts bounds a table; the oldest facts are evicted.
+	maxFacts = 1024
+	// reorderWindow is how long after an answer that specified a rate an answer
+	// without one is ignored. Answers to different instances may be reordered,
+	// and failures may omit the rate.
+	reorderWindow = 2 * time.Second
 )
 
-// Table is what one instance knows of the rates. It is not safe for concurrent use.
+// Table holds the rates known to one instance. It is not safe for concurrent
+// use.
 type Table struct {
 	facts map[loadshare.Key]Fact
 }
@@ -25,24 +27,26 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{facts: map[loadshare.Key]Fact{}} }
 
-// Answered takes in an answer of an upstream to this instance, with the rate that it named;
-// nil if it named none. It reports whether the other instances must hear of it at once.
+// Answered records an answer of an upstream to this instance with the rate that
+// it specified, or nil if it specified none. It reports whether the other
+// instances must be notified at once.
 func (t *Table) Answered(now time.Time, upstream loadshare.Key, rate *float64) bool {
 	known, found := t.facts[upstream]
 	if rate == nil {
-		if !found || !known.Named || now.Sub(known.At) < settles {
+		if !found || !known.Named || now.Sub(known.At) < reorderWindow {
 			return false
 		}
 		t.facts[upstream] = Fact{Upstream: upstream, At: now}
 		return true
 	}
-	told := asTold(*rate)
-	t.facts[upstream] = Fact{Upstream: upstream, Rate: told, Named: true, At: now}
-	t.bound(now)
-	return !found || !known.Named || known.Rate != told
+	rounded := roundedForWire(*rate)
+	t.facts[upstream] = Fact{Upstream: upstream, Rate: rounded, Named: true, At: now}
+	t.evictExcess(now)
+	return !found || !known.Named || known.Rate != rounded
 }
 
-// Merge takes in facts of another instance; of two about one upstream the newer holds.
+// Merge applies facts of another instance; the newer of two facts about an
+// upstream wins.
 func (t *Table) Merge(now time.Time, facts []Fact) {
 	for i := range facts {
 		f := facts[i]
@@ -50,10 +54,10 @@
 			t.facts[f.Upstream] = f
 		}
 	}
-	t.bound(now)
+	t.evictExcess(now)
 }
 
-// Missing returns the facts of which the sender of some others does not know.
+// Missing returns the facts that the sender of theirs lacks.
 func (t *Table) Missing(now time.Time, theirs []Fact) []Fact {
 	t.expire(now)
 	known := make(map[loadshare.Key]*Fact, len(theirs))
@@ -62,23 +66,24 @@
 	}
 	var missing []Fact
 	for _, f := range t.facts {
-		if their := known[f.Upstream]; their == nil || f.saysMoreThan(their) {
+		if their := known[f.Upstream]; their == nil || f.supersedes(their) {
 			missing = append(missing, f)
 		}
 	}
 	return missing
 }
 
-// Facts returns all facts that count.
+// Facts returns all facts that have not expired.
 func (t *Table) Facts(now time.Time) []Fact {
 	t.expire(now)
 	return slices.Collect(maps.Values(t.facts))
 }
 
-// Fact returns what is known of an upstream; the zero Fact if nothing is.
+// Fact returns the fact about an upstream, or the zero Fact if there is none.
 func (t *Table) Fact(upstream loadshare.Key) Fact { return t.facts[upstream] }
 
-// Rate returns the rate that an upstream names; false if it names none.
+// Rate returns the rate that an upstream specifies, or false if it specifies
+// none.
 func (t *Table) Rate(now time.Time, upstream loadshare.Key) (float64, bool) {
 	f, found := t.facts[upstream]
 	if !found || !f.Named || now.Sub(f.At) > f.lifetime() {
@@ -87,7 +92,7 @@
 	return f.Rate, true
 }
 
-// Limited returns how many upstreams name a rate.
+// Limited returns the number of upstreams that specify a rate.
 func (t *Table) Limited(now time.Time) int {
 	limited := 0
 	for key := range t.facts {
@@ -102,12 +107,12 @@
 	maps.DeleteFunc(t.facts, func(_ loadshare.Key, f Fact) bool { return now.Sub(f.At) > f.lifetime() })
 }
 
-func (t *Table) bound(now time.Time) {
-	if len(t.facts) <= mostFacts {
+func (t *Table) evictExcess(now time.Time) {
+	if len(t.facts) <= maxFacts {
 		return
 	}
 	t.expire(now)
-	for len(t.facts) > mostFacts {
+	for len(t.facts) > maxFacts {
 		oldest := slices.MinFunc(slices.Collect(maps.Values(t.facts)), func(a, b Fact) int {
 			return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Upstream, b.Upstream))
 		})
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -15,8 +15,9 @@
 
 func rate(r float64) *float64 { return &r }
 
-// Guards against instances that together send an upstream more than it takes, although each
-// keeps its part: instances differ in how much comes to them, and all are sent at once.
+// Guards against instances that in total exceed the rate of an upstream
+// although each respects its share: instances receive different numbers of
+// requests, and all send bursts at the same time.
 func TestSharesTogetherKeepTheRate(t *testing.T) {
 	const span, step = 4 * time.Second, 5 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
@@ -52,9 +53,9 @@
 	})
 }
 
-// Guards against an upstream that gets much less than it takes, because its rate is divided
-// among instances to which too little comes.
-func TestUpstreamStillGetsItsRate(t *testing.T) {
+// Guards against an upstream that receives much less than its rate because the
+// rate is divided among instances that have too few requests.
+func TestRateOfAnUpstreamIsUsed(t *testing.T) {
 	const span, step = time.Minute, 5 * time.Millisecond
 	for _, c := range []struct {
 		instances   int
@@ -81,39 +82,39 @@
 	}
 }
 
-// Guards against a rate that is forgotten, or believed for ever, when answers overtake each
-// other or cease.
+// Guards against a rate that expires too early, or never, when answers are
+// reordered or cease.
 func TestNewestAnswerHolds(t *testing.T) {
 	table := NewTable()
 	if !table.Answered(start, 7, rate(1.2)) || table.Answered(start.Add(time.Second), 7, rate(1.2)) {
-		t.Error("only the first answer is news")
+		t.Error("Answered must report only the first answer")
 	}
 	if !table.Answered(start.Add(2*time.Second), 7, rate(1)) {
-		t.Error("another rate is no news")
+		t.Error("Answered did not report a changed rate")
 	}
-	if table.Answered(start.Add(2*time.Second+settles/2), 7, nil) {
-		t.Error("an answer that was overtaken ends the rate")
+	if table.Answered(start.Add(2*time.Second+reorderWindow/2), 7, nil) {
+		t.Error("a reordered answer without a rate ended the rate")
 	}
 	if got, named := table.Rate(start.Add(3*time.Second), 7); got != 1 || !named {
 		t.Errorf("the rate is %g, %t", got, named)
 	}
-	if !table.Answered(start.Add(2*time.Second+settles), 7, nil) {
-		t.Error("an answer without a rate does not end it")
+	if !table.Answered(start.Add(2*time.Second+reorderWindow), 7, nil) {
+		t.Error("an answer without a rate did not end the rate")
 	}
 	if _, named := table.Rate(start.Add(4*time.Second), 7); named {
-		t.Error("the rate holds on")
+		t.Error("the ended rate is still valid")
 	}
 	table.Answered(start.Add(5*time.Second), 7, rate(1))
-	if _, named := table.Rate(start.Add(5*time.Second+leastKept+time.Second), 7); named {
-		t.Error("a rate of which nothing was heard for long still holds")
+	if _, named := table.Rate(start.Add(5*time.Second+minLifetime+time.Second), 7); named {
+		t.Error("a rate is still valid after its lifetime without answers")
 	}
 	table.Answered(start.Add(6*time.Second), 8, rate(0.05))
-	if _, named := table.Rate(start.Add(6*time.Second+leastKept+time.Second), 8); !named {
-		t.Error("a rate below one in 20 s is forgotten between two answers")
+	if _, named := table.Rate(start.Add(6*time.Second+minLifetime+time.Second), 8); !named {
+		t.Error("a rate of one request in 20 s expired between two answers")
 	}
 }
 
-// Guards against instances that disagree for long after datagrams were lost.
+// Guards against instances that disagree for a long time after lost datagrams.
 func TestTablesAgreeAfterOneExchange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewTable(), NewTable()
@@ -124,16 +125,16 @@
 			key := loadshare.Key(rapid.IntRange(1, 4).Draw(t, "upstream"))
 			one.Answered(now, key, rapid.SampledFrom([]*float64{nil, rate(1), rate(2)}).Draw(t, "rate"))
 		}
-		told, err := Decode(now, (&Message{Asks: true, Facts: a.Facts(now)}).Encode(now))
+		received, err := Decode(now, (&Message{Asks: true, Facts: a.Facts(now)}).Encode(now))
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Merge(now, told.Facts)
-		back, err := Decode(now, (&Message{Facts: b.Missing(now, told.Facts)}).Encode(now))
+		b.Merge(now, received.Facts)
+		reply, err := Decode(now, (&Message{Facts: b.Missing(now, received.Facts)}).Encode(now))
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.Merge(now, back.Facts)
+		a.Merge(now, reply.Facts)
 		for key := loadshare.Key(1); key <= 4; key++ {
 			rateA, namedA := a.Rate(now, key)
 			rateB, namedB := b.Rate(now, key)
@@ -144,39 +145,40 @@
 	})
 }
 
-// Guards against telling all instances of a rate again and again, because it loses digits on
-// its way through a datagram.
-func TestToldRateIsNoNews(t *testing.T) {
+// Guards against notifying all instances repeatedly of the same rate because it
+// loses precision in a datagram.
+func TestReceivedRateIsNotAnnouncedAgain(t *testing.T) {
 	named := 1.8702828637465352
 	a, b := NewTable(), NewTable()
 	a.Answered(start, 7, &named)
-	told, err := Decode(start.Add(time.Second), (&Message{Facts: a.Facts(start)}).Encode(start))
+	received, err := Decode(start.Add(time.Second), (&Message{Facts: a.Facts(start)}).Encode(start))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Merge(start.Add(time.Second), told.Facts)
+	b.Merge(start.Add(time.Second), received.Facts)
 	if b.Answered(start.Add(2*time.Second), 7, &named) {
-		t.Error("the rate is news to an instance that was told it")
+		t.Error("a rate received from another instance is reported as changed")
 	}
-	if missing := b.Missing(start.Add(2*time.Second), told.Facts); len(missing) > 0 {
-		t.Errorf("others are told %+v again", missing)
+	if missing := b.Missing(start.Add(2*time.Second), received.Facts); len(missing) > 0 {
+		t.Errorf("already known facts %+v are sent again", missing)
 	}
 }
 
-// Guards against a table that grows with each engine that ever named a rate.
+// Guards against a table that grows with each engine that ever specified a
+// rate.
 func TestTableIsBounded(t *testing.T) {
 	table := NewTable()
-	for n := range 2 * mostFacts {
+	for n := range 2 * maxFacts {
 		table.Answered(start.Add(time.Duration(n)*time.Millisecond), loadshare.Key(n), rate(1))
 	}
-	if len(table.facts) != mostFacts {
+	if len(table.facts) != maxFacts {
 		t.Errorf("%d facts", len(table.facts))
 	}
-	if _, named := table.Rate(start, 2*mostFacts-1); !named {
+	if _, named := table.Rate(start, 2*maxFacts-1); !named {
 		t.Error("the newest was evicted")
 	}
-	if left := table.Facts(start.Add(2 * mostKept)); len(left) > 0 {
-		t.Errorf("%d facts are left after %s", len(left), 2*mostKept)
+	if left := table.Facts(start.Add(2 * maxLifetime)); len(left) > 0 {
+		t.Errorf("%d facts remain after %s", len(left), 2*maxLifetime)
 	}
 }
 
