--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// Limits say when a request is quarantined, and how long and how much a Book remembers.
+// Limits configure when a request is quarantined, and how long and how many
+// records a Book keeps.
 type Limits struct {
-	Started   int           // incarnations that ended after they had begun to run a request
-	Any       int           // incarnations that ended while they had the request at all
-	Suspected time.Duration // a request is forgotten so long after the last evidence against it
-	Retention time.Duration // the same for a quarantined request
-	Records   int           // requests that are remembered at most
+	Started   int           // incarnations that ended after starting to run a request
+	Any       int           // incarnations that ended while holding the request in any state
+	Suspected time.Duration // lifetime of a suspected request's record after the last evidence
+	Retention time.Duration // lifetime of a quarantined request's record after the last evidence
+	Records   int           // maximum number of records
 }
 
-// FleetLimits hold for the evidence of all instances together.
+// FleetLimits apply to the combined evidence of all instances.
 var FleetLimits = Limits{
 	Started:   3,
 	Any:       5,
@@ -24,58 +25,60 @@
 	Records:   1024,
 }
 
-// Book collects evidence and decides which requests are quarantined. Two books that take
-// in the same evidence in the same order are equal. It is not safe for concurrent use.
+// Book collects evidence and decides which requests are quarantined. Two books
+// that apply the same evidence in the same order are equal. It is not safe for
+// concurrent use.
 type Book struct {
-	Records []Record `json:"records,omitempty"` // by the time of the last evidence, oldest first
-	Version uint64   `json:"version,omitempty"` // position at which the quarantined requests changed last
+	Records []Record `json:"records,omitempty"` // ordered by the time of the last evidence, oldest first
+	Version uint64   `json:"version,omitempty"` // position of the last change of the quarantined requests
 
-	cleared bool // a quarantined request was dropped since the last decision
+	removed bool // a quarantined request was removed since the last decision
 }
 
 // Record is the evidence against one request.
 type Record struct {
 	Request     Fingerprint `json:"request"`
-	Started     []uint64    `json:"started,omitempty"` // incarnations that ended after they had begun to run it
-	Waiting     []uint64    `json:"waiting,omitempty"` // other incarnations that ended while they had it
-	At          time.Time   `json:"at"`                // of the last evidence
+	Started     []uint64    `json:"started,omitempty"` // incarnations that ended after starting to run it
+	Waiting     []uint64    `json:"waiting,omitempty"` // other incarnations that ended while holding it
+	At          time.Time   `json:"at"`                // time of the last evidence
 	Quarantined bool        `json:"quarantined,omitempty"`
 }
 
-// Take takes in evidence. position grows with each call that may change the book.
+// Take applies evidence. position increases with each call that may change the
+// book.
 func (b *Book) Take(now time.Time, position uint64, limits *Limits, evidence []Evidence) {
 	for i := range evidence {
-		b.take(now, &evidence[i])
+		b.apply(now, &evidence[i])
 	}
-	b.bound(limits)
+	b.evictExcess(limits)
 	b.decide(position, limits)
 }
 
-func (b *Book) take(now time.Time, e *Evidence) {
+func (b *Book) apply(now time.Time, e *Evidence) {
 	record := Record{Request: e.Request}
 	if at := b.find(e.Request); at >= 0 {
 		record = b.Records[at]
 		b.Records = slices.Delete(b.Records, at, at+1)
 	}
 	if e.Outcome == Answered {
-		b.cleared = b.cleared || record.Quarantined
+		b.removed = b.removed || record.Quarantined
 		return
 	}
-	record.note(e)
+	record.add(e)
 	record.At = now
 	b.Records = append(b.Records, record)
 }
 
-// mostUpstreams bounds the incarnations that a record names.
-const mostUpstreams = 16
+// maxUpstreams bounds the incarnations listed in a record.
+const maxUpstreams = 16
 
-func (r *Record) note(e *Evidence) {
+func (r *Record) add(e *Evidence) {
 	if slices.Contains(r.Started, e.Upstream) {
 		return
 	}
 	r.Waiting = slices.DeleteFunc(slices.Clone(r.Waiting), func(key uint64) bool { return key == e.Upstream })
 	switch {
-	case r.ends() >= mostUpstreams:
+	case r.upstreamCount() >= maxUpstreams:
 	case e.Outcome == EndedStarted:
 		r.Started = append(slices.Clone(r.Started), e.Upstream)
 	default:
@@ -83,23 +86,24 @@
 	}
 }
 
-// ends returns how many incarnations ended with the request.
-func (r *Record) ends() int { return len(r.Started) + len(r.Waiting) }
+// upstreamCount returns the number of incarnations that ended with the request.
+func (r *Record) upstreamCount() int { return len(r.Started) + len(r.Waiting) }
 
-// decide says which requests are quarantined, those with the most evidence first. A crash
-// that such a request explains is weak evidence against all others that were there: in a
-// storm of crashes, requests that only run beside others are hit several times.
+// decide determines which requests are quarantined, in order of decreasing
+// evidence. A crash explained by a quarantined request is weak evidence against
+// the other requests on that upstream: when crashes are frequent, innocent
+// requests that run beside the causes are hit several times.
 func (b *Book) decide(position uint64, limits *Limits) {
 	order := make([]*Record, len(b.Records))
 	for i := range b.Records {
 		order[i] = &b.Records[i]
 	}
 	slices.SortStableFunc(order, func(a, b *Record) int {
-		return cmp.Or(cmp.Compare(len(b.Started), len(a.Started)), cmp.Compare(b.ends(), a.ends()))
+		return cmp.Or(cmp.Compare(len(b.Started), len(a.Started)), cmp.Compare(b.upstreamCount(), a.upstreamCount()))
 	})
 	explained := map[uint64]bool{}
-	changed := b.cleared
-	b.cleared = false
+	changed := b.removed
+	b.removed = false
 	for _, r := range order {
 		unexplained := 0
 		for _, upstream := range r.Started {
@@ -108,7 +112,7 @@
 			}
 		}
 		was := r.Quarantined
-		r.Quarantined = unexplained >= limits.Started || r.ends() >= limits.Any
+		r.Quarantined = unexplained >= limits.Started || r.upstreamCount() >= limits.Any
 		changed = changed || r.Quarantined != was
 		if r.Quarantined {
 			for _, upstream := range r.Started {
@@ -121,7 +125,7 @@
 	}
 }
 
-// Expire forgets requests against which nothing came for long.
+// Expire removes the records of requests without recent evidence.
 func (b *Book) Expire(now time.Time, position uint64, limits *Limits) {
 	before := len(b.Records)
 	b.Records = slices.DeleteFunc(b.Records, func(r Record) bool {
@@ -130,7 +134,7 @@
 			lifetime = limits.Retention
 		}
 		expired := now.Sub(r.At) >= lifetime
-		b.cleared = b.cleared || expired && r.Quarantined
+		b.removed = b.removed || expired && r.Quarantined
 		return expired
 	})
 	if len(b.Records) < before {
@@ -138,11 +142,12 @@
 	}
 }
 
-// bound evicts the oldest requests above the limit, those that are only suspected first.
-func (b *Book) bound(limits *Limits) {
+// evictExcess evicts the oldest records above the limit, those of merely
+// suspected requests first.
+func (b *Book) evictExcess(limits *Limits) {
 	for len(b.Records) > limits.Records {
 		at := max(0, slices.IndexFunc(b.Records, func(r Record) bool { return !r.Quarantined }))
-		b.cleared = b.cleared || b.Records[at].Quarantined
+		b.removed = b.removed || b.Records[at].Quarantined
 		b.Records = slices.Delete(b.Records, at, at+1)
 	}
 }
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -13,7 +13,8 @@
 
 func request(n uint64) Fingerprint { return Fingerprint{Scope: 1, Body: n} }
 
-// ended is evidence that an upstream ended after it had begun to run a request.
+// ended returns evidence that an upstream ended after it had started to run a
+// request.
 func ended(body, upstream uint64) Evidence {
 	return Evidence{Request: request(body), Outcome: EndedStarted, Upstream: upstream}
 }
@@ -34,71 +35,75 @@
 func TestThirdCrashQuarantines(t *testing.T) {
 	b := take(ended(7, 1), ended(7, 2))
 	if b.Quarantined(request(7)) || b.Version != 0 {
-		t.Error("two crashes are enough")
+		t.Error("quarantined after two crashes")
 	}
 	b.Take(start, 3, &FleetLimits, []Evidence{ended(7, 3)})
 	if !b.Quarantined(request(7)) || b.Version != 3 || !b.List().Contains(request(7)) {
-		t.Errorf("three crashes are not enough: %+v", b)
+		t.Errorf("not quarantined after three crashes: %+v", b)
 	}
 }
 
-// Guards against counting one crash twice: two tries at one engine, or a report sent again.
+// Guards against counting one crash twice after two attempts at one engine or a
+// repeated report.
 func TestOneCrashCountsOnce(t *testing.T) {
 	b := take(ended(7, 1), ended(7, 1), waiting(7, 1), ended(7, 2), ended(7, 2))
 	if b.Quarantined(request(7)) {
-		t.Errorf("two crashes count as %+v", b.Records)
+		t.Errorf("two crashes are recorded as %+v", b.Records)
 	}
 }
 
-// Guards against rejecting requests that waited beside one that crashes its engines.
-func TestWaitingBesideACrashIsWeakEvidence(t *testing.T) {
+// Guards against rejecting requests that were only queued on an engine that
+// another request crashed.
+func TestQueueingOnACrashedEngineIsWeakEvidence(t *testing.T) {
 	b := take(waiting(7, 1), waiting(7, 2), waiting(7, 3), waiting(7, 4))
 	if b.Quarantined(request(7)) {
-		t.Error("a request that only waited is quarantined")
+		t.Error("a request that was only queued is quarantined")
 	}
 	b.Take(start, 5, &FleetLimits, []Evidence{waiting(7, 5)})
 	if !b.Quarantined(request(7)) {
-		t.Error("a request that ends engines before they begin to answer is never quarantined")
+		t.Error("a request that crashes engines before they start to answer is not quarantined")
 	}
 }
 
-// Guards against rejecting a request that engines answer, because engines end beside it.
+// Guards against rejecting a request that engines answer because engines crash
+// while it runs.
 func TestAnswerClearsARequest(t *testing.T) {
 	b := take(ended(7, 1), ended(7, 2), Evidence{Request: request(7), Outcome: Answered}, ended(7, 3))
 	if b.Quarantined(request(7)) {
-		t.Error("crashes before an answer count")
+		t.Error("crashes before an answer are counted")
 	}
 	b = take(ended(7, 1), ended(7, 2), ended(7, 3))
 	b.Take(start, 9, &FleetLimits, []Evidence{{Request: request(7), Outcome: Answered}})
 	if b.Quarantined(request(7)) || b.Version != 9 {
-		t.Errorf("an answer does not end the quarantine: %+v", b)
+		t.Errorf("an answer did not end the quarantine: %+v", b)
 	}
 }
 
-// Guards against state that grows for as long as the fleet runs, and against requests that
-// are rejected for ever.
-func TestEvidenceAgesAndIsBounded(t *testing.T) {
+// Guards against state that grows without bound, and against requests that are
+// rejected permanently.
+func TestEvidenceExpiresAndIsBounded(t *testing.T) {
 	b := take(ended(7, 1), ended(7, 2), ended(7, 3), ended(8, 1))
 	b.Expire(start.Add(FleetLimits.Suspected), 5, &FleetLimits)
 	if b.Known(request(8)) || !b.Quarantined(request(7)) {
-		t.Errorf("after %s %+v is left", FleetLimits.Suspected, b.Records)
+		t.Errorf("records after %s: %+v", FleetLimits.Suspected, b.Records)
 	}
 	b.Expire(start.Add(FleetLimits.Retention), 6, &FleetLimits)
 	if len(b.Records) != 0 || b.Version != 6 {
-		t.Errorf("after %s %+v is left", FleetLimits.Retention, b)
+		t.Errorf("records after %s: %+v", FleetLimits.Retention, b)
 	}
 	b = take(ended(7, 1), ended(7, 2), ended(7, 3))
 	for n := range 2 * FleetLimits.Records {
 		b.Take(start, uint64(n+4), &FleetLimits, []Evidence{ended(uint64(100+n), 1)})
 	}
 	if len(b.Records) != FleetLimits.Records || !b.Quarantined(request(7)) {
-		t.Errorf("%d records; the quarantined request is kept: %t", len(b.Records), b.Quarantined(request(7)))
+		t.Errorf("%d records; quarantined request kept: %t", len(b.Records), b.Quarantined(request(7)))
 	}
 }
 
-// Guards against instances that disagree on what is quarantined after a restart from a
-// snapshot, and against a version that does not tell of a change.
-func TestBooksAgree(t *testing.T) {
+// Guards against instances that disagree on the quarantined requests after a
+// restart from a snapshot, and against a version that does not reflect a
+// change.
+func TestRegistriesAgree(t *testing.T) {
 	limits := Limits{Started: 3, Any: 5, Suspected: 5 * time.Second, Retention: 20 * time.Second, Records: 4}
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := &Book{}, &Book{}
@@ -116,7 +121,7 @@
 				book.Take(now, position+1, &limits, []Evidence{e, e})
 			}
 			if after := a.List(); a.Version == version && !reflect.DeepEqual(before.requests, after.requests) {
-				t.Fatalf("the list changed from %v to %v, and the version did not", before.requests, after.requests)
+				t.Fatalf("the list changed from %v to %v without a new version", before.requests, after.requests)
 			}
 			data, err := json.Marshal(b)
 			if err != nil {
@@ -133,7 +138,7 @@
 	})
 }
 
-func TestListSurvivesTheWire(t *testing.T) {
+func TestListIsDecodedAsEncoded(t *testing.T) {
 	want := NewList(9, []Fingerprint{request(1), request(2)})
 	data, err := json.Marshal(want)
 	if err != nil {
@@ -145,12 +150,13 @@
 	}
 	var none *List
 	if none.Contains(request(1)) || none.Version() != 0 || none.Size() != 0 {
-		t.Error("no list is not empty")
+		t.Error("a nil list is not empty")
 	}
 }
 
-// Guards against a memory of answers that forgets what is asked for all the time, or grows.
-func TestRecentForgetsTheOldest(t *testing.T) {
+// Guards against a Recent that evicts frequently repeated requests, or that
+// grows.
+func TestRecentEvictsTheOldest(t *testing.T) {
 	r := NewRecent(4)
 	for n := range uint64(10) {
 		r.Note(request(n))
@@ -158,15 +164,16 @@
 	}
 	for n := range uint64(10) {
 		if got := r.Contains(request(n)); got != (n >= 6) {
-			t.Errorf("request %d is remembered: %t", n, got)
+			t.Errorf("Contains(%d) = %t", n, got)
 		}
 	}
-	if len(r.held) != 4 {
-		t.Errorf("%d are held", len(r.held))
+	if len(r.occurrences) != 4 {
+		t.Errorf("%d requests are kept", len(r.occurrences))
 	}
 }
 
-// Guards against rejecting requests that ran beside several which crash their engines.
+// Guards against rejecting requests that ran beside several others that crash
+// their engines.
 func TestCrashesOfAKnownCauseAreWeakEvidence(t *testing.T) {
 	const first, second, beside = 1, 2, 3
 	b := take(
@@ -174,18 +181,18 @@
 		ended(beside, 11), ended(beside, 12), ended(beside, 21),
 	)
 	if !b.Quarantined(request(beside)) {
-		t.Error("three crashes without a known cause are not enough")
+		t.Error("not quarantined after three crashes without a known cause")
 	}
 	for n, e := range []Evidence{ended(first, 13), ended(first, 14), ended(second, 23)} {
 		b.Take(start, uint64(100+n), &FleetLimits, []Evidence{e})
 	}
 	if b.Quarantined(request(beside)) || !b.Quarantined(request(first)) || !b.Quarantined(request(second)) || b.Version < 100 {
-		t.Errorf("the causes are known, and the records are %+v", b)
+		t.Errorf("wrong records after the causes were identified: %+v", b)
 	}
 	for n, e := range []Evidence{ended(beside, 31), ended(beside, 32)} {
 		b.Take(start, uint64(200+n), &FleetLimits, []Evidence{e})
 	}
 	if !b.Quarantined(request(beside)) {
-		t.Error("a request that ended five engines is not quarantined")
+		t.Error("a request that crashed five engines is not quarantined")
 	}
 }
--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -1,28 +1,29 @@
 package quarantine
 
-// Evidence is what an instance saw of one request. Taking in the same evidence twice
-// changes nothing.
+// Evidence is one observation of an instance about a request. Applying the same
+// evidence twice has no further effect.
 type Evidence struct {
 	Request  Fingerprint `json:"r"`
 	Outcome  Outcome     `json:"o"`
 	Upstream uint64      `json:"u,omitempty"` // key of the incarnation that ended; 0 for Answered
 }
 
-// Outcome is what became of a request at an upstream.
+// Outcome is how an upstream's handling of a request ended.
 type Outcome uint8
 
 const (
-	// EndedWaiting means that the upstream ended while it had the request, and that it is
-	// not known whether it had begun to run it.
+	// EndedWaiting means that the upstream ended while it held the request, and
+	// that it is unknown whether it had started to run it.
 	EndedWaiting Outcome = iota
-	// EndedStarted means that the upstream ended after it had begun to run the request.
+	// EndedStarted means that the upstream ended after it had started to run
+	// the request.
 	EndedStarted
-	// Answered means that an upstream answered the request whole, or that an operator
-	// vouches for it. It outweighs all evidence before it.
+	// Answered means that an upstream answered the request completely, or that
+	// an operator released it. It overrides all earlier evidence.
 	Answered
 )
 
-// String returns the form that logs show.
+// String returns the form used in logs.
 func (o Outcome) String() string {
 	switch o {
 	case EndedWaiting:
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -9,20 +9,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Fingerprint identifies a request across retries and instances: two requests share it
-// if their host, path, caller and body are the same. The ID and the deadline of a try are
-// not part of it.
+// Fingerprint identifies a request across retries and instances: two requests
+// have the same fingerprint if their host, path, caller and body are equal. The
+// request ID and the deadline of an attempt are not part of it.
 type Fingerprint struct {
-	Scope uint64 `json:"s"` // of host, path and caller
+	Scope uint64 `json:"s"` // hash of host, path and caller
 	Body  uint64 `json:"b"`
 }
 
-// ScopeOf identifies the requests of one caller to one path.
+// ScopeOf returns the scope shared by the requests of one caller to one path.
 func ScopeOf(host, path, caller string) uint64 {
 	digest := xxhash.New()
 	for _, part := range []string{host, path, caller} {
 		_, _ = digest.WriteString(part) // never fails
-		_, _ = digest.Write([]byte{0})  // keeps the parts apart
+		_, _ = digest.Write([]byte{0})  // separates the parts
 	}
 	return digest.Sum64()
 }
@@ -32,10 +32,10 @@
 	return Fingerprint{Scope: scope, Body: xxhash.Sum64(body)}
 }
 
-// String returns the form that logs and operators' commands show.
+// String returns the form used in logs and operators' commands.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x%016x", f.Scope, f.Body) }
 
-// ParseFingerprint reads what String returns.
+// ParseFingerprint parses the form returned by String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != 16 {
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestFingerprintTellsRequestsApart(t *testing.T) {
+func TestFingerprintDistinguishesRequests(t *testing.T) {
 	first := FingerprintOf(ScopeOf("a.example", "/draft/", "atelier"), []byte("measurements"))
 	if again := FingerprintOf(ScopeOf("a.example", "/draft/", "atelier"), []byte("measurements")); again != first {
 		t.Errorf("the same request is %s and %s", first, again)
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestFingerprintIsReadAsItIsShown(t *testing.T) {
+func TestFingerprintIsParsedAsFormatted(t *testing.T) {
 	want := FingerprintOf(ScopeOf("a.example", "/draft/", "atelier"), []byte("measurements"))
 	if got, err := ParseFingerprint(want.String()); err != nil || got != want {
 		t.Errorf("%s is read as %s (%v)", want, got, err)
--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -2,7 +2,8 @@
 
 import "encoding/json"
 
-// List is the quarantined requests at a version of a Book. It is immutable; nil is empty.
+// List is the set of quarantined requests at one version of a Book. It is
+// immutable; nil is an empty list.
 type List struct {
 	version  uint64
 	requests map[Fingerprint]struct{}
@@ -17,7 +18,7 @@
 	return l
 }
 
-// Version returns the version of the book; 0 if nothing is known.
+// Version returns the version of the book, or 0 if the list is nil.
 func (l *List) Version() uint64 {
 	if l == nil {
 		return 0
@@ -25,7 +26,7 @@
 	return l.version
 }
 
-// Size returns how many requests are quarantined.
+// Size returns the number of quarantined requests.
 func (l *List) Size() int {
 	if l == nil {
 		return 0
@@ -42,7 +43,7 @@
 	return found
 }
 
-// listWire is the form of a List between instances.
+// listWire is the JSON form of a List.
 type listWire struct {
 	Version  uint64        `json:"version"`
 	Requests []Fingerprint `json:"requests,omitempty"`
