--- a/verdict/error.go
+++ b/verdict/error.go
@@ -7,13 +7,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Error ends a request. It carries the verdict, the reason and, where it makes
-// sense to ask again, the time after which to do so.
+// Error describes why a request ended. It carries the verdict, the reason and,
+// if a retry can succeed, the time after which to retry.
 type Error struct {
 	Verdict    Verdict
 	Reason     Reason
 	Message    string
-	RetryAfter time.Duration // zero: asking again does not help, or nothing is known
+	RetryAfter time.Duration // zero if a retry does not help or the time is unknown
 	cause      error
 }
 
@@ -22,14 +22,14 @@
 	return &Error{Verdict: v, Reason: r, Message: fmt.Sprintf(format, args...)}
 }
 
-// Refuse returns an Error that says that the request was not run.
+// Refuse returns an Error with the verdict NotRun.
 func Refuse(r Reason, retryAfter time.Duration, format string, args ...any) *Error {
 	e := New(NotRun, r, format, args...)
 	e.RetryAfter = retryAfter
 	return e
 }
 
-// Wrap returns an Error around cause.
+// Wrap returns an Error that wraps cause.
 func Wrap(cause error, v Verdict, r Reason, format string, args ...any) *Error {
 	e := New(v, r, format, args...)
 	e.cause = cause
@@ -47,8 +47,9 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// From finds the Error inside err. An error that carries no verdict becomes an
-// internal fault with the careful verdict MayHaveRun; nil stays nil.
+// From returns the Error in the chain of err. An error without a verdict
+// becomes an internal error with the conservative verdict MayHaveRun; nil stays
+// nil.
 func From(err error) *Error {
 	if err == nil {
 		return nil
@@ -60,7 +61,7 @@
 	return Wrap(err, MayHaveRun, ReasonInternal, "unexpected failure")
 }
 
-// After sets the time after which to ask again and returns the error.
+// After sets the time after which to retry and returns the error.
 func (e *Error) After(retryAfter time.Duration) *Error {
 	e.RetryAfter = retryAfter
 	return e
--- a/verdict/reason.go
+++ b/verdict/reason.go
@@ -6,16 +6,16 @@
 // "type" field of the JSON error and a bounded metric label.
 type Reason string
 
-// The reasons that the system gives.
+// Reasons for refusals and failures.
 const (
 	ReasonBadRequest    Reason = "bad-request"    // malformed body or header
 	ReasonUnauthorized  Reason = "unauthorised"   // unknown or missing key
 	ReasonNotFound      Reason = "not-found"      // unknown path, model or service
-	ReasonBodyTooLarge  Reason = "body-too-large" // above the limit of the settings
+	ReasonBodyTooLarge  Reason = "body-too-large" // exceeds the configured limit
 	ReasonTooLong       Reason = "too-long"       // no engine and no span of engines can hold the prompt
 	ReasonDeadline      Reason = "deadline"       // cannot be answered in time
-	ReasonShare         Reason = "share"          // above its organisation's share while the fleet is full
-	ReasonLimit         Reason = "limit"          // above a limit of its organisation or class
+	ReasonShare         Reason = "share"          // exceeds its organisation's share while the fleet is full
+	ReasonLimit         Reason = "limit"          // exceeds a limit of its organisation or class
 	ReasonQueueFull     Reason = "queue-full"     // the queue of its class is full
 	ReasonNoUpstream    Reason = "no-upstream"    // no fresh upstream serves the model or service
 	ReasonDraining      Reason = "draining"       // this instance is shutting down
@@ -23,18 +23,18 @@
 	ReasonNoQuorum      Reason = "no-quorum"      // no majority of voters could be reached
 	ReasonDuplicate     Reason = "duplicate"      // same idempotency key as an earlier request
 	ReasonKeyExpired    Reason = "key-expired"    // idempotency key older than its lifetime
-	ReasonUpstream      Reason = "upstream"       // upstream failed or broke its protocol
-	ReasonTimeout       Reason = "timeout"        // the deadline passed while it ran
+	ReasonUpstream      Reason = "upstream"       // upstream failed or violated its protocol
+	ReasonTimeout       Reason = "timeout"        // the deadline passed while the request ran
 	ReasonCallerLeft    Reason = "caller-left"    // the caller closed its connection
-	ReasonRetryBudget   Reason = "retry-budget"   // the organisation's retry budget is spent
-	ReasonInternal      Reason = "internal"       // a fault of the system itself
-	ReasonConflict      Reason = "conflict"       // an operator's order lost against another
-	ReasonNotLeader     Reason = "not-leader"     // asked of an instance that does not lead the control group
-	ReasonQuarantined   Reason = "quarantined"    // crashed the upstreams that ran it
-	ReasonStorageFailed Reason = "storage-failed" // the data folder refused a write or a sync
+	ReasonRetryBudget   Reason = "retry-budget"   // the organisation's retry budget is exhausted
+	ReasonInternal      Reason = "internal"       // internal error
+	ReasonConflict      Reason = "conflict"       // an operator's order conflicts with another one
+	ReasonNotLeader     Reason = "not-leader"     // sent to an instance that does not lead the control group
+	ReasonQuarantined   Reason = "quarantined"    // the request crashed the upstreams that ran it
+	ReasonStorageFailed Reason = "storage-failed" // a write or sync in the data folder failed
 )
 
-// Status returns the HTTP status code that goes with the reason.
+// Status returns the HTTP status code for the reason.
 func (r Reason) Status() int {
 	switch r {
 	case ReasonBadRequest:
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,17 +1,17 @@
-// Package verdict says whether a request may have run, and carries that
-// statement through every layer inside the errors that end a request.
+// Package verdict defines whether a request may have run, and carries that
+// statement through all layers in the errors that end a request.
 package verdict
 
 // Verdict states what is known about the execution of a request at its
-// upstream. The zero value is the careful one: a verdict that nobody set never
+// upstream. The zero value is the conservative one: an unset verdict never
 // claims that a request was not run.
 type Verdict uint8
 
 const (
-	// MayHaveRun means that at least one byte of the request may have reached an
-	// upstream and that the outcome there is unknown.
+	// MayHaveRun means that at least one byte of the request may have reached
+	// an upstream and that its outcome there is unknown.
 	MayHaveRun Verdict = iota
-	// NotRun means that it is proved that no upstream executed the request.
+	// NotRun means that no upstream executed the request; this is certain.
 	NotRun
 	// Ran means that an upstream executed the request and its outcome is known.
 	Ran
@@ -29,7 +29,7 @@
 	}
 }
 
-// Parse reads the wire form. Anything that it does not know is MayHaveRun.
+// Parse parses the wire form. Unknown values are read as MayHaveRun.
 func Parse(s string) Verdict {
 	switch s {
 	case "not-run":
--- a/verdict/verdict_test.go
+++ b/verdict/verdict_test.go
@@ -20,7 +20,7 @@
 		}
 	}
 	if Parse("NOT-RUN") != MayHaveRun {
-		t.Error("an unknown text must not claim that a request was not run")
+		t.Error("an unknown value was parsed as NotRun")
 	}
 }
 
@@ -28,7 +28,7 @@
 	inner := Refuse(ReasonShare, 0, "full")
 	err := errors.Wrap(errors.Wrap(inner, "queue"), "entry")
 	if got := From(err); got != inner {
-		t.Fatalf("From lost the error: %v", got)
+		t.Fatalf("From did not return the wrapped error: %v", got)
 	}
 	if got := From(errors.New("plain")); got.Verdict != MayHaveRun || got.Reason != ReasonInternal {
 		t.Fatalf("a plain error became %v", got)
