--- a/order/action.go
+++ b/order/action.go
@@ -2,21 +2,21 @@
 
 import "celeryport/upstream/wire"
 
-// Action is one call that the driver shall make to an engine. Order is nil for
-// reading the engine's state back.
+// Action is a call that the driver must make to an engine. If Order is nil, the
+// call reads the engine's state.
 type Action struct {
 	Engine      string
 	Address     string
-	Incarnation uint64 // of the engine that is meant
+	Incarnation uint64 // of the target engine
 	Order       *wire.Order
 }
 
-// Result tells the reconciler what came of an action.
+// Result is the outcome of an action.
 type Result struct {
 	Engine      string
 	Incarnation uint64
 	Order       *wire.Order
-	State       *wire.EngineState // as the engine reported it; nil when the answer was lost
-	Accepted    bool              // the engine executes the order
-	Reason      string            // why it refused, or why the answer was lost
+	State       *wire.EngineState // as reported by the engine; nil if the answer was lost
+	Accepted    bool              // the engine accepted the order
+	Reason      string            // reason of a refusal or of a lost answer
 }
--- a/order/caller.go
+++ b/order/caller.go
@@ -12,20 +12,20 @@
 	"celeryport/upstream/wire"
 )
 
-// maxAnswer bounds the answer of an engine in bytes.
+// maxAnswer bounds the size of an engine's answer in bytes.
 const maxAnswer = 1 << 20
 
-// caller makes the calls to engines.
+// caller makes the HTTP calls to engines.
 type caller struct {
 	client  *fasthttp.Client
 	key     string
 	timeout time.Duration
 }
 
-// newCaller returns a caller that sends each request once. fasthttp repeats a
-// request by itself when the peer closes the connection before it answers; an
-// order would then be executed twice, and the second time perhaps after another
-// issuer has taken over.
+// newCaller returns a caller that sends each request at most once. By default
+// fasthttp retries a request when the peer closes the connection before it
+// answers; an order would then be executed twice, the second time possibly
+// after another issuer has taken over.
 func newCaller(key string, timeout time.Duration, dial func(address string) (net.Conn, error)) *caller {
 	return &caller{
 		key:     key,
@@ -43,7 +43,7 @@
 	}
 }
 
-// read reads an engine's state back.
+// read returns an engine's state.
 func (c *caller) read(address string) (*wire.EngineState, error) {
 	var state wire.EngineState
 	if err := c.call(http.MethodGet, address, wire.PathState, nil, &state); err != nil {
@@ -65,8 +65,8 @@
 	return &response, nil
 }
 
-// call sends a request over a connection of its own. A refusal with status 409
-// has the same body as an accepted order.
+// call sends a request on a new connection. A refusal with status 409 has the
+// same body as an accepted order.
 func (c *caller) call(method, address, path string, body []byte, answer any) error {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/order/driver.go
+++ b/order/driver.go
@@ -14,8 +14,8 @@
 	"celeryport/upstream"
 )
 
-// Source is where the driver gets what it needs to know. Its methods may be
-// called from any goroutine and don't block.
+// Source provides the driver's inputs. Its methods may be called from any
+// goroutine and do not block.
 type Source interface {
 	Issuer() Issuer
 	Wishes() *settings.Tree
@@ -28,10 +28,10 @@
 	Clock  clock.Clock
 	Key    string // sent to the engines
 	Timing Timing
-	Dial   func(address string) (net.Conn, error) // nil: TCP
+	Dial   func(address string) (net.Conn, error) // nil selects TCP
 }
 
-// Driver runs a Reconciler: it makes the calls that it decides on.
+// Driver runs a Reconciler and executes its actions.
 type Driver struct {
 	opts       Options
 	source     Source
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// Run compares wishes and engines until ctx ends.
+// Run reconciles the engines until ctx is done.
 func (d *Driver) Run(ctx context.Context) error {
 	ticker := time.NewTicker(roundInterval)
 	defer ticker.Stop()
@@ -77,7 +77,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case result := <-d.results:
-			d.reconciler.Done(d.opts.Clock.Now(), result)
+			d.reconciler.HandleResult(d.opts.Clock.Now(), result)
 		case <-ticker.C:
 		}
 		d.round(ctx)
@@ -94,7 +94,7 @@
 	d.records.Store(&records)
 }
 
-// execute makes one call and hands in its result.
+// execute makes one call and delivers its result.
 func (d *Driver) execute(ctx context.Context, a Action) {
 	result := d.call(a)
 	if result.State == nil {
@@ -120,9 +120,9 @@
 	return d.order(a, result)
 }
 
-// order sends an order. The issuer's right is looked up again right before: this
-// process may have been frozen since the decision, and another issuer may have
-// taken over meanwhile.
+// order sends an order. It checks again immediately before the call that this
+// instance is still the issuer: the process may have been frozen since the
+// decision, and another issuer may have taken over.
 func (d *Driver) order(a Action, result Result) Result {
 	issuer := d.source.Issuer()
 	if !issuer.Valid(d.opts.Clock.Now()) || issuer.Fence.Term != a.Order.Term || issuer.Fence.Index != a.Order.Index {
--- a/order/driver_test.go
+++ b/order/driver_test.go
@@ -18,7 +18,7 @@
 	"celeryport/upstream/wire"
 )
 
-// fixedSource gives the driver what a test wants it to see.
+// fixedSource provides fixed inputs to the driver.
 type fixedSource struct {
 	issuer atomic.Pointer[Issuer]
 }
@@ -27,7 +27,8 @@
 func (s *fixedSource) Wishes() *settings.Tree        { return nil }
 func (s *fixedSource) Upstreams() *upstream.Snapshot { return nil }
 
-// countingEngine reads each call, counts it and closes without an answer.
+// countingEngine reads and counts each call and closes the connection without
+// an answer.
 func countingEngine(t *testing.T) (address string, calls *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,9 +60,9 @@
 }
 
 func TestOrderIsSentOnce(t *testing.T) {
-	// An engine reads an order, executes it and closes before it answers. HTTP
-	// clients like to send such a request again by themselves, and the model would
-	// be loaded twice.
+	// An engine reads an order, executes it and closes the connection before it
+	// answers. HTTP clients often retry such requests automatically, and the
+	// model would be loaded twice.
 	address, calls := countingEngine(t)
 	source := &fixedSource{}
 	issuer := issuerOf(1, time.Now())
@@ -72,14 +73,14 @@
 		t.Fatalf("result %+v", result)
 	}
 	if calls.Load() != 1 {
-		t.Fatalf("the engine saw the order %d times", calls.Load())
+		t.Fatalf("the engine received the order %d times", calls.Load())
 	}
 }
 
 func TestFrozenIssuerSendsNothingWhenItWakes(t *testing.T) {
-	// The leader decides on an order and its process is frozen before it sends.
-	// When it wakes another issuer has taken over long ago; an engine that ignores
-	// fencing numbers would obey the old order.
+	// The leader decides on an order and its process is frozen before sending
+	// it. When it resumes, another issuer has long taken over; an engine that
+	// ignores fencing numbers would execute the outdated order.
 	address, calls := countingEngine(t)
 	source := &fixedSource{}
 	o := &wire.Order{ID: "1-1-1", Term: 1, Index: 1, Kind: wire.OrderVersion, Value: "v2"}
@@ -95,12 +96,12 @@
 	}
 }
 
-func TestDriverEndsWithItsContext(t *testing.T) {
+func TestDriverStopsWithItsContext(t *testing.T) {
 	source := &fixedSource{}
 	source.issuer.Store(&Issuer{})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := testDriver(source).Run(ctx); err == nil {
-		t.Fatal("no error after the end of the context")
+		t.Fatal("Run returned no error after the context was cancelled")
 	}
 }
--- a/order/engine.go
+++ b/order/engine.go
@@ -8,7 +8,7 @@
 	"celeryport/upstream/wire"
 )
 
-// engine is what the reconciler knows of one engine.
+// engine is the reconciler's view of one engine.
 type engine struct {
 	name        string
 	address     string
@@ -16,16 +16,16 @@
 	fencing     upstream.Fencing
 	fresh       bool
 
-	state    *wire.EngineState // last read under this issuer, nil: must be read
-	readAt   time.Time
-	pending  *wire.Order // under way or with a lost answer
-	calling  bool        // a call is under way
-	notUntil time.Time   // back off until then
+	state          *wire.EngineState // last read under this issuer; nil if it must be read
+	readAt         time.Time
+	pending        *wire.Order // order in progress or with a lost answer
+	callInProgress bool        // a call is in progress
+	backoffUntil   time.Time   // end of the backoff
 }
 
-// follow takes over what the engine announces of itself. A restarted engine
-// forgot its orders and must be read again.
-func (e *engine) follow(u *upstream.Upstream, now time.Time) {
+// applyAnnouncement applies the engine's announcement. A restarted engine has
+// lost its orders and must be read again.
+func (e *engine) applyAnnouncement(u *upstream.Upstream, now time.Time) {
 	a := &u.Announcement
 	if e.incarnation != a.Incarnation {
 		*e = engine{name: a.Name, incarnation: a.Incarnation}
@@ -35,9 +35,9 @@
 	e.fresh = u.StateAt(now) == upstream.Fresh
 }
 
-// known reports whether what the engine said may still be believed.
-func (e *engine) known(now time.Time, reread time.Duration) bool {
-	return e.state != nil && now.Sub(e.readAt) < reread
+// stateKnown reports whether the last read state is recent enough to be used.
+func (e *engine) stateKnown(now time.Time, lifetime time.Duration) bool {
+	return e.state != nil && now.Sub(e.readAt) < lifetime
 }
 
 // serves reports whether the engine has the model loaded.
@@ -45,7 +45,7 @@
 	return e.state != nil && slices.Contains(e.state.Models, model)
 }
 
-// free reports whether the engine can be called now.
-func (e *engine) free(now time.Time) bool {
-	return e.fresh && !e.calling && !now.Before(e.notUntil)
+// callable reports whether the engine can be called now.
+func (e *engine) callable(now time.Time) bool {
+	return e.fresh && !e.callInProgress && !now.Before(e.backoffUntil)
 }
--- a/order/reconciler.go
+++ b/order/reconciler.go
@@ -10,13 +10,13 @@
 	"celeryport/upstream/wire"
 )
 
-// Reconciler decides which engines to read and what to order. It is pure and not
-// safe for concurrent use.
+// Reconciler decides which engines to read and which orders to send. It is pure
+// and not safe for concurrent use.
 //
-// Invariants: an engine is ordered only after its state was read under the
-// present issuer; an engine that ignores fencing is left alone, reads included,
-// until every former issuer has stopped; at most one call to an engine is under
-// way; after a lost answer the engine is read before anything else.
+// Invariants: an engine is sent orders only after its state was read under the
+// current issuer; an engine that ignores fencing is neither read nor sent
+// orders until every former issuer has stopped; at most one call to an engine
+// is in progress; after a lost answer the engine is read before any other call.
 type Reconciler struct {
 	timing  Timing
 	issuer  Issuer
@@ -37,28 +37,29 @@
 // maxRecords bounds the log of orders.
 const maxRecords = 200
 
-// NewReconciler returns a reconciler that knows no engine.
+// NewReconciler returns a reconciler without any engines.
 func NewReconciler(timing Timing) *Reconciler {
 	return &Reconciler{timing: timing, engines: map[string]*engine{}}
 }
 
-// Step takes in the present wishes and engines and returns the calls to make.
+// Step applies the current desired state and snapshot and returns the calls to
+// make.
 func (r *Reconciler) Step(now time.Time, issuer Issuer, tree *settings.Tree, s *upstream.Snapshot) []Action {
-	r.become(issuer)
-	if !issuer.Valid(now) || tree == nil || s == nil || !wishes(tree) {
+	r.setIssuer(issuer)
+	if !issuer.Valid(now) || tree == nil || s == nil || !hasDesiredState(tree) {
 		return nil
 	}
-	r.follow(now, s)
+	r.applySnapshot(now, s)
 	actions := r.reads(now)
-	for _, o := range r.wanted(now, tree) {
+	for _, o := range r.changes(now, tree) {
 		actions = append(actions, r.issue(now, o))
 	}
 	return actions
 }
 
-// become forgets what was read under another issuer's number: that issuer may
-// have changed the engines since.
-func (r *Reconciler) become(issuer Issuer) {
+// setIssuer discards the state that was read under another issuer's fence: that
+// issuer may have changed the engines since.
+func (r *Reconciler) setIssuer(issuer Issuer) {
 	if issuer.Fence != r.issuer.Fence {
 		for _, e := range r.engines {
 			e.state = nil
@@ -69,8 +70,8 @@
 	r.issuer = issuer
 }
 
-// follow adds and removes engines with the snapshot.
-func (r *Reconciler) follow(now time.Time, s *upstream.Snapshot) {
+// applySnapshot adds and removes engines according to the snapshot.
+func (r *Reconciler) applySnapshot(now time.Time, s *upstream.Snapshot) {
 	seen := map[string]bool{}
 	for i := range s.Upstreams {
 		u := &s.Upstreams[i]
@@ -82,64 +83,64 @@
 		if r.engines[name] == nil {
 			r.engines[name] = &engine{name: name, incarnation: u.Announcement.Incarnation}
 		}
-		r.engines[name].follow(u, now)
+		r.engines[name].applyAnnouncement(u, now)
 	}
 	for name, e := range r.engines {
-		if !seen[name] && !e.calling {
+		if !seen[name] && !e.callInProgress {
 			delete(r.engines, name)
 		}
 	}
 }
 
-// mayTouch reports whether the engine can be read and ordered by this issuer.
-func (r *Reconciler) mayTouch(now time.Time, e *engine) bool {
-	return e.fencing == upstream.FencingChecked || r.issuer.Waited(now, r.timing.Wait)
+// mayCall reports whether this issuer may read the engine and send it orders.
+func (r *Reconciler) mayCall(now time.Time, e *engine) bool {
+	return e.fencing == upstream.FencingChecked || r.issuer.FormerIssuersStopped(now, r.timing.TakeoverDelay)
 }
 
 // reads returns a read for each engine whose state is not known.
 func (r *Reconciler) reads(now time.Time) []Action {
 	var actions []Action
 	for _, e := range r.sorted() {
-		if !e.free(now) || !r.mayTouch(now, e) || e.known(now, r.timing.Reread) {
+		if !e.callable(now) || !r.mayCall(now, e) || e.stateKnown(now, r.timing.StateLifetime) {
 			continue
 		}
-		e.calling = true
+		e.callInProgress = true
 		actions = append(actions, Action{Engine: e.name, Address: e.address, Incarnation: e.incarnation})
 	}
 	return actions
 }
 
-// issue numbers an order and marks its engine as being called.
-func (r *Reconciler) issue(now time.Time, w want) Action {
+// issue assigns an ID to an order and marks its engine as being called.
+func (r *Reconciler) issue(now time.Time, c change) Action {
 	r.issued++
 	o := &wire.Order{
 		ID:    fmt.Sprintf("%d-%d-%d", r.issuer.Fence.Term, r.issuer.Fence.Index, r.issued),
 		Term:  r.issuer.Fence.Term,
 		Index: r.issuer.Fence.Index,
-		Kind:  w.kind,
-		Value: w.value,
+		Kind:  c.kind,
+		Value: c.value,
 	}
-	w.engine.calling = true
-	w.engine.pending = o
-	r.record(now, w.engine.name, o, "sent", "")
-	return Action{Engine: w.engine.name, Address: w.engine.address, Incarnation: w.engine.incarnation, Order: o}
+	c.engine.callInProgress = true
+	c.engine.pending = o
+	r.record(now, c.engine.name, o, "sent", "")
+	return Action{Engine: c.engine.name, Address: c.engine.address, Incarnation: c.engine.incarnation, Order: o}
 }
 
-// Done takes in what came of an action.
-func (r *Reconciler) Done(now time.Time, result Result) {
+// HandleResult applies the result of an action.
+func (r *Reconciler) HandleResult(now time.Time, result Result) {
 	e := r.engines[result.Engine]
 	if e == nil || e.incarnation != result.Incarnation {
 		return
 	}
-	e.calling = false
+	e.callInProgress = false
 	if result.State == nil {
-		r.lost(now, e, result)
+		r.handleLostAnswer(now, e, result)
 		return
 	}
 	e.state = result.State
 	e.readAt = now
 	if result.Order == nil {
-		r.readBack(now, e)
+		r.resolvePending(now, e)
 		return
 	}
 	e.pending = nil
@@ -147,24 +148,24 @@
 		r.record(now, e.name, result.Order, "accepted", "")
 		return
 	}
-	e.notUntil = now.Add(r.timing.Backoff)
+	e.backoffUntil = now.Add(r.timing.Backoff)
 	r.record(now, e.name, result.Order, "refused", result.Reason)
 }
 
-// lost handles an answer that did not come: whether the order was executed is
-// unknown, so the engine's state must be read before it is ordered again. The
-// backoff is longer than the call's timeout, so a call that is still on its way
-// has arrived or died by then.
-func (r *Reconciler) lost(now time.Time, e *engine, result Result) {
+// handleLostAnswer handles a lost answer. It is unknown whether the
+// order was executed, so the engine's state must be read before the next order.
+// The backoff is longer than the call's timeout, so a call that is still in
+// transit has arrived or failed by then.
+func (r *Reconciler) handleLostAnswer(now time.Time, e *engine, result Result) {
 	e.state = nil
-	e.notUntil = now.Add(r.timing.Backoff)
+	e.backoffUntil = now.Add(r.timing.Backoff)
 	if result.Order != nil {
 		r.record(now, e.name, result.Order, "lost", result.Reason)
 	}
 }
 
-// readBack settles an order whose answer was lost.
-func (r *Reconciler) readBack(now time.Time, e *engine) {
+// resolvePending determines the result of an order whose answer was lost.
+func (r *Reconciler) resolvePending(now time.Time, e *engine) {
 	if e.pending == nil {
 		return
 	}
@@ -188,7 +189,7 @@
 // Records returns the newest orders, oldest first.
 func (r *Reconciler) Records() []Record { return append([]Record(nil), r.log...) }
 
-// sorted returns the engines by name, so that equal knowledge gives equal
+// sorted returns the engines by name, so that the same inputs lead to the same
 // orders.
 func (r *Reconciler) sorted() []*engine {
 	all := make([]*engine, 0, len(r.engines))
--- a/order/reconciler_test.go
+++ b/order/reconciler_test.go
@@ -16,19 +16,20 @@
 
 var testStart = time.Unix(1_800_000_000, 0)
 
-// engineModel is an engine that executes orders, as its own process would.
+// engineModel simulates an engine that executes orders.
 type engineModel struct {
 	name    string
 	fencing upstream.Fencing
 	state   wire.EngineState
-	ran     []string // ids of all orders that it executed
+	ran     []string // IDs of all executed orders
 }
 
 func newEngine(name string, fencing upstream.Fencing, models ...string) *engineModel {
 	return &engineModel{name: name, fencing: fencing, state: wire.EngineState{Incarnation: 1, Models: models}}
 }
 
-// execute runs an order unless its fencing number is checked and old.
+// execute runs an order unless the engine checks fencing numbers and the
+// order's is outdated.
 func (e *engineModel) execute(o wire.Order) bool {
 	fence := state.Fence{Term: o.Term, Index: o.Index}
 	seen := state.Fence{Term: e.state.FenceTerm, Index: e.state.FenceIndex}
@@ -57,10 +58,10 @@
 	return true
 }
 
-// shop is a set of engines, all announced and fresh.
-type shop map[string]*engineModel
+// engineSet is a set of engines, all announced and fresh.
+type engineSet map[string]*engineModel
 
-func (s shop) snapshot(now time.Time) *upstream.Snapshot {
+func (s engineSet) snapshot(now time.Time) *upstream.Snapshot {
 	registry := upstream.NewRegistry(time.Hour)
 	for _, e := range s {
 		registry.Hear(now, upstream.Announcement{
@@ -72,7 +73,7 @@
 }
 
 // answer executes an action and returns its result.
-func (s shop) answer(a Action) Result {
+func (s engineSet) answer(a Action) Result {
 	e := s[a.Engine]
 	result := Result{Engine: a.Engine, Incarnation: a.Incarnation, Order: a.Order}
 	if a.Order != nil {
@@ -83,7 +84,7 @@
 	return result
 }
 
-func lost(a Action) Result {
+func lostAnswer(a Action) Result {
 	return Result{Engine: a.Engine, Incarnation: a.Incarnation, Order: a.Order, Reason: "no answer"}
 }
 
@@ -91,20 +92,20 @@
 	return Issuer{Fence: state.Fence{Term: term, Index: term}, TakenAt: takenAt, Until: takenAt.Add(time.Hour)}
 }
 
-// reporter is what both kinds of tests have.
-type reporter interface {
+// testingT is the interface shared by testing.T and rapid.T.
+type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// settle runs rounds with every answer arriving until nothing is left to do.
-func settle(t reporter, r *Reconciler, s shop, issuer Issuer, tree *settings.Tree, now time.Time) time.Time {
+// reconcile runs rounds in which every answer arrives until no actions remain.
+func reconcile(t testingT, r *Reconciler, s engineSet, issuer Issuer, tree *settings.Tree, now time.Time) time.Time {
 	t.Helper()
 	for range 100 {
 		actions := r.Step(now, issuer, tree, s.snapshot(now))
 		ordered := false
 		for _, a := range actions {
-			r.Done(now, s.answer(a))
+			r.HandleResult(now, s.answer(a))
 			ordered = ordered || a.Order != nil
 		}
 		if len(actions) == 0 && !ordered {
@@ -112,52 +113,52 @@
 		}
 		now = now.Add(time.Second)
 	}
-	t.Fatalf("never settled: %+v", r.Records())
+	t.Fatalf("not reconciled after 100 rounds: %+v", r.Records())
 	return now
 }
 
-func TestWishesAreReached(t *testing.T) {
-	wished := func(m settings.Model) *settings.Tree { return &settings.Tree{Models: []settings.Model{m}} }
+func TestDesiredStateIsReached(t *testing.T) {
+	treeWith := func(m settings.Model) *settings.Tree { return &settings.Tree{Models: []settings.Model{m}} }
 	tests := map[string]struct {
-		engines shop
+		engines engineSet
 		tree    *settings.Tree
 		want    map[string]wire.EngineState
 	}{
 		"a model on spare engines": {
-			shop{"e1": newEngine("e1", upstream.FencingIgnored, "m"), "e2": newEngine("e2", upstream.FencingIgnored), "e3": newEngine("e3", upstream.FencingIgnored)},
-			wished(settings.Model{Name: "m", Replicas: 2}),
+			engineSet{"e1": newEngine("e1", upstream.FencingIgnored, "m"), "e2": newEngine("e2", upstream.FencingIgnored), "e3": newEngine("e3", upstream.FencingIgnored)},
+			treeWith(settings.Model{Name: "m", Replicas: 2}),
 			map[string]wire.EngineState{"e1": {Models: []string{"m"}}, "e2": {Models: []string{"m"}}, "e3": {}},
 		},
 		"too many replicas": {
-			shop{"e1": newEngine("e1", upstream.FencingIgnored, "m"), "e2": newEngine("e2", upstream.FencingIgnored, "m")},
-			wished(settings.Model{Name: "m", Replicas: 1}),
+			engineSet{"e1": newEngine("e1", upstream.FencingIgnored, "m"), "e2": newEngine("e2", upstream.FencingIgnored, "m")},
+			treeWith(settings.Model{Name: "m", Replicas: 1}),
 			map[string]wire.EngineState{"e1": {Models: []string{"m"}}, "e2": {Models: []string{}}},
 		},
 		"version and adapters": {
-			shop{"e1": newEngine("e1", upstream.FencingChecked, "m")},
-			wished(settings.Model{Name: "m", Version: "v2", Adapters: []string{"a", "b"}}),
+			engineSet{"e1": newEngine("e1", upstream.FencingChecked, "m")},
+			treeWith(settings.Model{Name: "m", Version: "v2", Adapters: []string{"a", "b"}}),
 			map[string]wire.EngineState{"e1": {Models: []string{"m"}, Version: "v2", Adapters: []string{"a", "b"}}},
 		},
 		"role": {
-			shop{"e1": newEngine("e1", upstream.FencingChecked, "m"), "e2": newEngine("e2", upstream.FencingIgnored)},
-			wished(settings.Model{Name: "m", Role: "prefill"}),
+			engineSet{"e1": newEngine("e1", upstream.FencingChecked, "m"), "e2": newEngine("e2", upstream.FencingIgnored)},
+			treeWith(settings.Model{Name: "m", Role: "prefill"}),
 			map[string]wire.EngineState{"e1": {Models: []string{"m"}, Role: "prefill"}, "e2": {}},
 		},
-		"two models on one engine wish different versions": {
-			shop{"e1": newEngine("e1", upstream.FencingIgnored, "m", "n")},
+		"two models on one engine with different versions": {
+			engineSet{"e1": newEngine("e1", upstream.FencingIgnored, "m", "n")},
 			&settings.Tree{Models: []settings.Model{{Name: "m", Version: "v2"}, {Name: "n", Version: "v3"}}},
 			map[string]wire.EngineState{"e1": {Models: []string{"m", "n"}, Version: "v2"}},
 		},
-		"nothing wished": {
-			shop{"e1": newEngine("e1", upstream.FencingIgnored, "m")},
-			wished(settings.Model{Name: "m"}),
+		"no desired state": {
+			engineSet{"e1": newEngine("e1", upstream.FencingIgnored, "m")},
+			treeWith(settings.Model{Name: "m"}),
 			map[string]wire.EngineState{"e1": {Models: []string{"m"}}},
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			issuer := issuerOf(1, testStart)
-			settle(t, NewReconciler(DefaultTiming()), test.engines, issuer, test.tree, testStart.Add(DefaultTiming().Wait))
+			reconcile(t, NewReconciler(DefaultTiming()), test.engines, issuer, test.tree, testStart.Add(DefaultTiming().TakeoverDelay))
 			for engine, want := range test.want {
 				got := test.engines[engine].state
 				if !slices.Equal(got.Models, want.Models) || !slices.Equal(got.Adapters, want.Adapters) || got.Version != want.Version || got.Role != want.Role {
@@ -168,47 +169,47 @@
 	}
 }
 
-func TestEngineWithoutFencingIsLeftAloneAtFirst(t *testing.T) {
-	// The leader changes while the former one is in the middle of its orders. An
-	// engine that ignores fencing numbers would execute the orders of both, in any
-	// order, if the new issuer did not wait until the former must have stopped.
+func TestEngineWithoutFencingIsNotCalledBeforeFormerIssuersStopped(t *testing.T) {
+	// The leader changes while the former one is sending orders. An engine that
+	// ignores fencing numbers would execute the orders of both, in any order,
+	// if the new issuer did not wait until the former one must have stopped.
 	tree := &settings.Tree{Models: []settings.Model{{Name: "m", Version: "v2"}}}
 	for _, fencing := range []upstream.Fencing{upstream.FencingIgnored, upstream.FencingChecked} {
-		s := shop{"e1": newEngine("e1", fencing, "m")}
+		s := engineSet{"e1": newEngine("e1", fencing, "m")}
 		r := NewReconciler(DefaultTiming())
 		early := r.Step(testStart.Add(time.Second), issuerOf(2, testStart), tree, s.snapshot(testStart))
-		if touched := len(early) > 0; touched != (fencing == upstream.FencingChecked) {
-			t.Errorf("fencing %d: touched early: %v", fencing, touched)
+		if called := len(early) > 0; called != (fencing == upstream.FencingChecked) {
+			t.Errorf("fencing %d: called before the takeover delay: %v", fencing, called)
 		}
 	}
 }
 
-func TestLostOrderIsReadBack(t *testing.T) {
-	// The engine executes an order and dies to the network before it answers. If
-	// the order were sent again blindly it would be executed twice, and on an
-	// engine that meanwhile was changed by hand it would undo the change.
+func TestStateIsReadAfterALostAnswer(t *testing.T) {
+	// The engine executes an order and the network fails before it answers. If
+	// the order were resent without a read it would be executed twice, and it
+	// would revert a manual change made to the engine in the meantime.
 	for _, executed := range []bool{true, false} {
 		t.Run(fmt.Sprintf("executed=%v", executed), func(t *testing.T) {
-			s := shop{"e1": newEngine("e1", upstream.FencingIgnored, "m")}
+			s := engineSet{"e1": newEngine("e1", upstream.FencingIgnored, "m")}
 			tree := &settings.Tree{Models: []settings.Model{{Name: "m", Adapters: []string{"a"}}}}
 			r, issuer := NewReconciler(DefaultTiming()), issuerOf(1, testStart)
-			now := testStart.Add(DefaultTiming().Wait)
-			r.Done(now, s.answer(r.Step(now, issuer, tree, s.snapshot(now))[0]))
+			now := testStart.Add(DefaultTiming().TakeoverDelay)
+			r.HandleResult(now, s.answer(r.Step(now, issuer, tree, s.snapshot(now))[0]))
 			order := r.Step(now, issuer, tree, s.snapshot(now))[0]
 			if executed {
 				s.answer(order)
 			}
-			r.Done(now, lost(order))
+			r.HandleResult(now, lostAnswer(order))
 			if early := r.Step(now.Add(time.Millisecond), issuer, tree, s.snapshot(now)); len(early) != 0 {
-				t.Fatalf("called at once after a lost answer: %+v", early)
+				t.Fatalf("called without a backoff after a lost answer: %+v", early)
 			}
 			now = now.Add(DefaultTiming().Backoff)
 			next := r.Step(now, issuer, tree, s.snapshot(now))
 			if len(next) != 1 || next[0].Order != nil {
-				t.Fatalf("not read back: %+v", next)
+				t.Fatalf("state not read after a lost answer: %+v", next)
 			}
-			r.Done(now, s.answer(next[0]))
-			settle(t, r, s, issuer, tree, now)
+			r.HandleResult(now, s.answer(next[0]))
+			reconcile(t, r, s, issuer, tree, now)
 			if len(s["e1"].ran) != 1 || !slices.Equal(s["e1"].state.Adapters, []string{"a"}) {
 				t.Fatalf("orders executed %v, adapters %v", s["e1"].ran, s["e1"].state.Adapters)
 			}
@@ -217,22 +218,23 @@
 }
 
 func TestNoOrderWithoutTheLease(t *testing.T) {
-	// The leader is cut off from the other voters. Another one may order by now.
-	s := shop{"e1": newEngine("e1", upstream.FencingChecked, "m")}
+	// The leader is partitioned from the other voters. Another leader may
+	// already be sending orders.
+	s := engineSet{"e1": newEngine("e1", upstream.FencingChecked, "m")}
 	tree := &settings.Tree{Models: []settings.Model{{Name: "m", Version: "v2"}}}
 	issuer := issuerOf(1, testStart)
 	if actions := NewReconciler(DefaultTiming()).Step(issuer.Until, issuer, tree, s.snapshot(testStart)); len(actions) != 0 {
-		t.Fatalf("actions after the lease: %+v", actions)
+		t.Fatalf("actions after the end of the lease: %+v", actions)
 	}
 }
 
-func TestChangingIssuersOrderNothingTwice(t *testing.T) {
-	// Issuers follow each other, answers are lost and late, and engines restart.
-	// Each engine must end with what the tree wishes, and never see an adapter
-	// loaded that it has already.
+func TestChangingIssuersSendNoOrderTwice(t *testing.T) {
+	// Issuers follow each other, answers are lost or late, and engines restart.
+	// Each engine must end in the desired state and never be ordered to load an
+	// adapter that it already has.
 	rapid.Check(t, func(t *rapid.T) {
 		tree := &settings.Tree{Models: []settings.Model{{Name: "m", Version: "v3", Adapters: []string{"a", "b"}}}}
-		s := shop{"e1": newEngine("e1", upstream.FencingIgnored, "m"), "e2": newEngine("e2", upstream.FencingChecked, "m")}
+		s := engineSet{"e1": newEngine("e1", upstream.FencingIgnored, "m"), "e2": newEngine("e2", upstream.FencingChecked, "m")}
 		timing := DefaultTiming()
 		now := testStart
 		term := uint64(1)
@@ -249,12 +251,12 @@
 			for _, a := range r.Step(now, issuer, tree, s.snapshot(now)) {
 				switch rapid.IntRange(0, 3).Draw(t, "fate") {
 				case 0:
-					r.Done(now, lost(a))
+					r.HandleResult(now, lostAnswer(a))
 				case 1:
 					s.answer(a)
-					r.Done(now, lost(a))
+					r.HandleResult(now, lostAnswer(a))
 				default:
-					r.Done(now, s.answer(a))
+					r.HandleResult(now, s.answer(a))
 				}
 			}
 			for _, e := range s {
@@ -263,7 +265,7 @@
 				}
 			}
 		}
-		settle(t, r, s, issuer, tree, now.Add(timing.Wait+timing.Backoff))
+		reconcile(t, r, s, issuer, tree, now.Add(timing.TakeoverDelay+timing.Backoff))
 		for _, e := range s {
 			if e.state.Version != "v3" || len(e.state.Adapters) != 2 {
 				t.Fatalf("%s ends as %+v", e.name, e.state)
