--- a/bench/world.go
+++ b/bench/world.go
@@ -137,7 +137,7 @@
 		i.granted = grants[n].Grants
 		w.after(2*networkDelay, func() {
 			if !i.down {
-				i.dispatcher.Granted(w.time(), grants[n].Grants)
+				i.dispatcher.ApplyGrants(w.time(), grants[n].Grants)
 				i.act()
 			}
 		})
--- a/dispatch/admit_test.go
+++ b/dispatch/admit_test.go
@@ -56,7 +56,7 @@
 	s.Configure(epoch, &settings.Tree{Organisations: []settings.Organisation{
 		{Name: "bottega", Weight: 1}, {Name: "large", Weight: 99},
 	}})
-	s.Granted(epoch, []quota.Grant{
+	s.ApplyGrants(epoch, []quota.Grant{
 		{Organisation: "bottega", FleetUsage: 1e7, Lease: time.Minute},
 		{Organisation: "large", FleetWaitingTokens: 50_000, Lease: time.Minute},
 	})
@@ -84,7 +84,7 @@
 		{Organisation: "bottega", FleetUsage: 1e7, Lease: time.Minute},
 		{Organisation: "other", FleetUsage: 1e6, FleetWaitingTokens: 5e6, Lease: time.Minute},
 	}
-	s.Granted(epoch, grants)
+	s.ApplyGrants(epoch, grants)
 	long := prompt("a", 100_000, epoch)
 	long.Deadline = epoch.Add(time.Hour)
 	s.Offer(epoch, long)
@@ -92,7 +92,7 @@
 		t.Fatalf("sent at once: %+v", actions)
 	}
 	grants[1].FleetWaitingTokens = 0
-	s.Granted(epoch, grants)
+	s.ApplyGrants(epoch, grants)
 	if actions := take(s); len(actions) != 1 || actions[0].Kind != Send {
 		t.Fatalf("not sent after the other organisation's backlog ended: %+v", actions)
 	}
@@ -148,7 +148,7 @@
 // prompt is answered before an earlier one.
 func TestOverdueLargePromptGetsAClearedNode(t *testing.T) {
 	s := New(Config{}, rand1())
-	s.Granted(epoch, []quota.Grant{{
+	s.ApplyGrants(epoch, []quota.Grant{{
 		Organisation: "bottega", Lease: time.Hour, FleetMix: quota.Mix{Long: 60_000},
 	}})
 	busy := func(_ int, u *upstream.Upstream) { u.Announcement.Load.HeldTokens = 150_000 }
--- a/dispatch/decision_bench_test.go
+++ b/dispatch/decision_bench_test.go
@@ -27,7 +27,7 @@
 	}
 	s.Observe(now, engines(now, count, loaded))
 	s.Offer(now, prompt("warm", 50_000, now))
-	s.Granted(now, []quota.Grant{{
+	s.ApplyGrants(now, []quota.Grant{{
 		Organisation: "bottega", Lease: time.Hour, Rank: 3, Peers: 9,
 		FleetMix: quota.Mix{Small: 100_000, Middle: 500_000, Long: float64(count) * 10_000},
 	}})
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -23,8 +23,8 @@
 	Configure(now time.Time, tree *settings.Tree)
 	// Observe installs a newer snapshot of the upstreams.
 	Observe(now time.Time, view *upstream.Snapshot)
-	// Granted installs this instance's shares of the fleet-wide limits.
-	Granted(now time.Time, grants []quota.Grant)
+	// ApplyGrants installs this instance's shares of the fleet-wide limits.
+	ApplyGrants(now time.Time, grants []quota.Grant)
 	// Demands returns the demands to report in the next heartbeat.
 	Demands(now time.Time) []quota.Demand
 
--- a/dispatch/property_test.go
+++ b/dispatch/property_test.go
@@ -71,7 +71,7 @@
 			u.Announcement.Load.HeldTokens = rapid.IntRange(0, testMemory).Draw(t, "held")
 		}))
 	case 6:
-		s.Granted(now, []quota.Grant{randomGrant(t)})
+		s.ApplyGrants(now, []quota.Grant{randomGrant(t)})
 	default:
 		s.Tick(now)
 	}
--- a/dispatch/scheduler.go
+++ b/dispatch/scheduler.go
@@ -86,8 +86,8 @@
 	s.pump(now)
 }
 
-// Granted implements Dispatcher.
-func (s *Scheduler) Granted(now time.Time, grants []quota.Grant) {
+// ApplyGrants implements Dispatcher.
+func (s *Scheduler) ApplyGrants(now time.Time, grants []quota.Grant) {
 	s.begin()
 	for _, g := range grants {
 		s.table.SetPeers(g.Rank, g.Peers)
--- a/entry/driver.go
+++ b/entry/driver.go
@@ -100,7 +100,7 @@
 	if view.Upstreams != nil && (old == nil || old.Upstreams != view.Upstreams) {
 		d.dispatcher.Observe(now, view.Upstreams)
 	}
-	d.dispatcher.Granted(now, view.Grants)
+	d.dispatcher.ApplyGrants(now, view.Grants)
 }
 
 // do calls the dispatcher under the lock and carries out what it asks for.
--- a/routing/naive/scheduler.go
+++ b/routing/naive/scheduler.go
@@ -50,8 +50,8 @@
 // Configure implements dispatch.Dispatcher; the baseline has no settings.
 func (s *Scheduler) Configure(time.Time, *settings.Tree) {}
 
-// Granted implements dispatch.Dispatcher; the baseline has no limits.
-func (s *Scheduler) Granted(time.Time, []quota.Grant) {}
+// ApplyGrants implements dispatch.Dispatcher; the baseline has no limits.
+func (s *Scheduler) ApplyGrants(time.Time, []quota.Grant) {}
 
 // Demands implements dispatch.Dispatcher.
 func (s *Scheduler) Demands(time.Time) []quota.Demand { return nil }
