--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -44,9 +44,9 @@
 	Quarantined bool        `json:"quarantined,omitempty"`
 }
 
-// Take applies evidence. position increases with each call that may change the
+// Apply applies evidence. position increases with each call that may change the
 // book.
-func (b *Book) Take(now time.Time, position uint64, limits *Limits, evidence []Evidence) {
+func (b *Book) Apply(now time.Time, position uint64, limits *Limits, evidence []Evidence) {
 	for i := range evidence {
 		b.apply(now, &evidence[i])
 	}
