--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -70,7 +70,7 @@
 	listed := s.view().Quarantine.Contains(request)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answered.Note(request)
+	s.answered.Add(request)
 	if listed || s.own.Known(request) {
 		s.report(now, quarantine.Evidence{Request: request, Outcome: quarantine.Answered})
 	}
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -159,8 +159,8 @@
 func TestRecentEvictsTheOldest(t *testing.T) {
 	r := NewRecent(4)
 	for n := range uint64(10) {
-		r.Note(request(n))
-		r.Note(request(n))
+		r.Add(request(n))
+		r.Add(request(n))
 	}
 	for n := range uint64(10) {
 		if got := r.Contains(request(n)); got != (n >= 6) {
--- a/quarantine/recent.go
+++ b/quarantine/recent.go
@@ -15,8 +15,8 @@
 	return &Recent{ring: make([]Fingerprint, 0, size), occurrences: map[Fingerprint]int{}}
 }
 
-// Note adds a request that was answered.
-func (r *Recent) Note(request Fingerprint) {
+// Add adds a request that was answered.
+func (r *Recent) Add(request Fingerprint) {
 	if r.occurrences[request] > 0 && r.last() == request {
 		return
 	}
