--- a/control/state/machine.go
+++ b/control/state/machine.go
@@ -32,7 +32,7 @@
 	Issuer  Issuer      `json:"issuer"`
 	Epoch   claim.Epoch `json:"epoch"`
 
-	Quarantine quarantine.Book `json:"quarantine,omitzero"`
+	Quarantine quarantine.Registry `json:"quarantine,omitzero"`
 }
 
 // New returns the empty state.
--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -29,7 +29,7 @@
 	options *Options
 
 	mu       sync.Mutex
-	own      quarantine.Book
+	own      quarantine.Registry
 	taken    uint64 // position in own
 	answered *quarantine.Recent
 }
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -25,10 +25,10 @@
 	Records:   1024,
 }
 
-// Book collects evidence and decides which requests are quarantined. Two books
+// Registry collects evidence and decides which requests are quarantined. Two books
 // that apply the same evidence in the same order are equal. It is not safe for
 // concurrent use.
-type Book struct {
+type Registry struct {
 	Records []Record `json:"records,omitempty"` // ordered by the time of the last evidence, oldest first
 	Version uint64   `json:"version,omitempty"` // position of the last change of the quarantined requests
 
@@ -46,7 +46,7 @@
 
 // Apply applies evidence. position increases with each call that may change the
 // book.
-func (b *Book) Apply(now time.Time, position uint64, limits *Limits, evidence []Evidence) {
+func (b *Registry) Apply(now time.Time, position uint64, limits *Limits, evidence []Evidence) {
 	for i := range evidence {
 		b.apply(now, &evidence[i])
 	}
@@ -54,7 +54,7 @@
 	b.decide(position, limits)
 }
 
-func (b *Book) apply(now time.Time, e *Evidence) {
+func (b *Registry) apply(now time.Time, e *Evidence) {
 	record := Record{Request: e.Request}
 	if at := b.find(e.Request); at >= 0 {
 		record = b.Records[at]
@@ -93,7 +93,7 @@
 // evidence. A crash explained by a quarantined request is weak evidence against
 // the other requests on that upstream: when crashes are frequent, innocent
 // requests that run beside the causes are hit several times.
-func (b *Book) decide(position uint64, limits *Limits) {
+func (b *Registry) decide(position uint64, limits *Limits) {
 	order := make([]*Record, len(b.Records))
 	for i := range b.Records {
 		order[i] = &b.Records[i]
@@ -126,7 +126,7 @@
 }
 
 // Expire removes the records of requests without recent evidence.
-func (b *Book) Expire(now time.Time, position uint64, limits *Limits) {
+func (b *Registry) Expire(now time.Time, position uint64, limits *Limits) {
 	before := len(b.Records)
 	b.Records = slices.DeleteFunc(b.Records, func(r Record) bool {
 		lifetime := limits.Suspected
@@ -144,7 +144,7 @@
 
 // evictExcess evicts the oldest records above the limit, those of merely
 // suspected requests first.
-func (b *Book) evictExcess(limits *Limits) {
+func (b *Registry) evictExcess(limits *Limits) {
 	for len(b.Records) > limits.Records {
 		at := max(0, slices.IndexFunc(b.Records, func(r Record) bool { return !r.Quarantined }))
 		b.removed = b.removed || b.Records[at].Quarantined
@@ -153,16 +153,16 @@
 }
 
 // Quarantined reports whether a request is quarantined.
-func (b *Book) Quarantined(request Fingerprint) bool {
+func (b *Registry) Quarantined(request Fingerprint) bool {
 	at := b.find(request)
 	return at >= 0 && b.Records[at].Quarantined
 }
 
 // Known reports whether there is evidence against a request.
-func (b *Book) Known(request Fingerprint) bool { return b.find(request) >= 0 }
+func (b *Registry) Known(request Fingerprint) bool { return b.find(request) >= 0 }
 
 // List returns the quarantined requests.
-func (b *Book) List() *List {
+func (b *Registry) List() *List {
 	var requests []Fingerprint
 	for i := range b.Records {
 		if b.Records[i].Quarantined {
@@ -172,6 +172,6 @@
 	return NewList(b.Version, requests)
 }
 
-func (b *Book) find(request Fingerprint) int {
+func (b *Registry) find(request Fingerprint) int {
 	return slices.IndexFunc(b.Records, func(r Record) bool { return r.Request == request })
 }
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -23,8 +23,8 @@
 	return Evidence{Request: request(body), Outcome: EndedWaiting, Upstream: upstream}
 }
 
-func take(evidence ...Evidence) *Book {
-	b := &Book{}
+func take(evidence ...Evidence) *Registry {
+	b := &Registry{}
 	for i, e := range evidence {
 		b.Apply(start, uint64(i+1), &FleetLimits, []Evidence{e})
 	}
@@ -106,7 +106,7 @@
 func TestRegistriesAgree(t *testing.T) {
 	limits := Limits{Started: 3, Any: 5, Suspected: 5 * time.Second, Retention: 20 * time.Second, Records: 4}
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := &Book{}, &Book{}
+		a, b := &Registry{}, &Registry{}
 		now := start
 		for position := range uint64(rapid.IntRange(1, 60).Draw(t, "steps")) {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
@@ -116,7 +116,7 @@
 				Outcome:  Outcome(rapid.IntRange(0, int(Answered)).Draw(t, "outcome")),
 				Upstream: rapid.Uint64Range(1, 8).Draw(t, "upstream"),
 			}
-			for _, book := range []*Book{a, b} {
+			for _, book := range []*Registry{a, b} {
 				book.Expire(now, position+1, &limits)
 				book.Apply(now, position+1, &limits, []Evidence{e, e})
 			}
@@ -127,7 +127,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b = &Book{}
+			b = &Registry{}
 			if err := json.Unmarshal(data, b); err != nil {
 				t.Fatal(err)
 			}
