--- a/forward/rates_sharing.go
+++ b/forward/rates_sharing.go
@@ -89,7 +89,7 @@
 // sendRates sends facts in as many datagrams as they need. One that asks is sent even
 // without facts.
 func (s *Server) sendRates(now time.Time, conn net.PacketConn, to []netip.AddrPort, kind datagram.Kind, facts []throttle.Fact, asks bool) {
-	for chunk := range slices.Chunk(facts, throttle.MostInMessage) {
+	for chunk := range slices.Chunk(facts, throttle.MaxFactsPerMessage) {
 		message := throttle.Message{Asks: asks, Facts: chunk}
 		s.sendTo(conn, to, kind, message.Encode(now))
 	}
--- a/throttle/message.go
+++ b/throttle/message.go
@@ -10,9 +10,9 @@
 	"celeryport/loadshare"
 )
 
-// MostInMessage is the maximum number of facts in one message, so that it fits
+// MaxFactsPerMessage is the maximum number of facts in one message, so that it fits
 // into a packet.
-const MostInMessage = 60
+const MaxFactsPerMessage = 60
 
 const (
 	factBytes = 8 + 4 + 1 + 4
@@ -53,7 +53,7 @@
 
 // Decode parses the content of a datagram that arrived at now.
 func Decode(now time.Time, data []byte) (*Message, error) {
-	if len(data) == 0 || data[0] > 1 || (len(data)-1)%factBytes != 0 || len(data) > 1+MostInMessage*factBytes {
+	if len(data) == 0 || data[0] > 1 || (len(data)-1)%factBytes != 0 || len(data) > 1+MaxFactsPerMessage*factBytes {
 		return nil, errMalformed
 	}
 	m := &Message{Asks: data[0] == 1}
