--- a/forward/rates_sharing.go
+++ b/forward/rates_sharing.go
@@ -90,11 +90,11 @@
 // without facts.
 func (s *Server) sendRates(now time.Time, conn net.PacketConn, to []netip.AddrPort, kind datagram.Kind, facts []throttle.Fact, asks bool) {
 	for chunk := range slices.Chunk(facts, throttle.MaxFactsPerMessage) {
-		message := throttle.Message{Asks: asks, Facts: chunk}
+		message := throttle.Message{WantsReply: asks, Facts: chunk}
 		s.sendTo(conn, to, kind, message.Encode(now))
 	}
 	if asks && len(facts) == 0 {
-		message := throttle.Message{Asks: true}
+		message := throttle.Message{WantsReply: true}
 		s.sendTo(conn, to, kind, message.Encode(now))
 	}
 }
@@ -111,7 +111,7 @@
 	f.mu.Lock()
 	f.rates.table.Merge(now, message.Facts)
 	var missing []throttle.Fact
-	if message.Asks {
+	if message.WantsReply {
 		missing = f.rates.table.Missing(now, message.Facts)
 	}
 	f.mu.Unlock()
--- a/forward/rates_test.go
+++ b/forward/rates_test.go
@@ -130,7 +130,7 @@
 		if err != nil || kind != datagram.Rates {
 			t.Fatalf("kind %v, %v", kind, err)
 		}
-		if message, err := throttle.Decode(time.Now(), content); err != nil || !message.Asks {
+		if message, err := throttle.Decode(time.Now(), content); err != nil || !message.WantsReply {
 			t.Errorf("it sends %+v (%v)", message, err)
 		}
 	})
--- a/throttle/message.go
+++ b/throttle/message.go
@@ -23,8 +23,8 @@
 
 // Message is the content of one datagram.
 type Message struct {
-	Asks  bool // the sender requests the facts that it lacks
-	Facts []Fact
+	WantsReply bool // the sender requests the facts that it lacks
+	Facts      []Fact
 }
 
 // roundedForWire returns a rate rounded to the precision of a message.
@@ -34,7 +34,7 @@
 // the clocks of two instances are unrelated.
 func (m *Message) Encode(now time.Time) []byte {
 	data := make([]byte, 1, 1+factBytes*len(m.Facts))
-	if m.Asks {
+	if m.WantsReply {
 		data[0] = 1
 	}
 	for i := range m.Facts {
@@ -56,7 +56,7 @@
 	if len(data) == 0 || data[0] > 1 || (len(data)-1)%factBytes != 0 || len(data) > 1+MaxFactsPerMessage*factBytes {
 		return nil, errMalformed
 	}
-	m := &Message{Asks: data[0] == 1}
+	m := &Message{WantsReply: data[0] == 1}
 	for rest := data[1:]; len(rest) > 0; rest = rest[factBytes:] {
 		rate := float64(math.Float32frombits(binary.LittleEndian.Uint32(rest[8:])))
 		if rest[12] > flagNamed || !(rate >= 0) || math.IsInf(rate, 0) {
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -125,7 +125,7 @@
 			key := loadshare.Key(rapid.IntRange(1, 4).Draw(t, "upstream"))
 			one.Answered(now, key, rapid.SampledFrom([]*float64{nil, rate(1), rate(2)}).Draw(t, "rate"))
 		}
-		received, err := Decode(now, (&Message{Asks: true, Facts: a.Facts(now)}).Encode(now))
+		received, err := Decode(now, (&Message{WantsReply: true, Facts: a.Facts(now)}).Encode(now))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -190,7 +190,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	m := Message{Asks: true, Facts: []Fact{{Upstream: 5, Rate: 1.2, Named: true, At: start}}}
+	m := Message{WantsReply: true, Facts: []Fact{{Upstream: 5, Rate: 1.2, Named: true, At: start}}}
 	f.Add(m.Encode(start))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -199,7 +199,7 @@
 			return
 		}
 		again, err := Decode(start, m.Encode(start))
-		if err != nil || !slices.Equal(m.Facts, again.Facts) || m.Asks != again.Asks {
+		if err != nil || !slices.Equal(m.Facts, again.Facts) || m.WantsReply != again.WantsReply {
 			t.Errorf("%+v is written and read as %+v, %v", m, again, err)
 		}
 	})
