--- a/forward/rates.go
+++ b/forward/rates.go
@@ -37,7 +37,7 @@
 	}
 	now := time.Now()
 	f.mu.Lock()
-	news := f.rates.table.Answered(now, n.key, a.Rate)
+	news := f.rates.table.RecordAnswer(now, n.key, a.Rate)
 	if news {
 		f.rates.changes = append(f.rates.changes, f.rates.table.Fact(n.key))
 	}
--- a/forward/rates_test.go
+++ b/forward/rates_test.go
@@ -28,7 +28,7 @@
 		used := 0
 		for n := range seconds * 4 {
 			s.fleet.mu.Lock()
-			s.fleet.rates.table.Answered(time.Now(), limited, &named)
+			s.fleet.rates.table.RecordAnswer(time.Now(), limited, &named)
 			s.fleet.mu.Unlock()
 			ask := longAsk()
 			ask.ID = fmt.Sprint("front-1/call/", n)
@@ -58,7 +58,7 @@
 		none := 0.0
 		for _, key := range world.Fleet("model").Keys {
 			s.fleet.mu.Lock()
-			s.fleet.rates.table.Answered(time.Now(), key, &none)
+			s.fleet.rates.table.RecordAnswer(time.Now(), key, &none)
 			s.fleet.mu.Unlock()
 		}
 		if fleet := world.Fleet("model"); fleet != nil {
@@ -78,7 +78,7 @@
 			limited = key
 		}
 		two := 2.0
-		s.fleet.rates.table.Answered(time.Now(), limited, &two)
+		s.fleet.rates.table.RecordAnswer(time.Now(), limited, &two)
 		s.fleet.mu.Unlock()
 		got := 0
 		for range 100 {
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -86,29 +86,29 @@
 // reordered or cease.
 func TestNewestAnswerHolds(t *testing.T) {
 	table := NewTable()
-	if !table.Answered(start, 7, rate(1.2)) || table.Answered(start.Add(time.Second), 7, rate(1.2)) {
+	if !table.RecordAnswer(start, 7, rate(1.2)) || table.RecordAnswer(start.Add(time.Second), 7, rate(1.2)) {
 		t.Error("Answered must report only the first answer")
 	}
-	if !table.Answered(start.Add(2*time.Second), 7, rate(1)) {
+	if !table.RecordAnswer(start.Add(2*time.Second), 7, rate(1)) {
 		t.Error("Answered did not report a changed rate")
 	}
-	if table.Answered(start.Add(2*time.Second+reorderWindow/2), 7, nil) {
+	if table.RecordAnswer(start.Add(2*time.Second+reorderWindow/2), 7, nil) {
 		t.Error("a reordered answer without a rate ended the rate")
 	}
 	if got, named := table.Rate(start.Add(3*time.Second), 7); got != 1 || !named {
 		t.Errorf("the rate is %g, %t", got, named)
 	}
-	if !table.Answered(start.Add(2*time.Second+reorderWindow), 7, nil) {
+	if !table.RecordAnswer(start.Add(2*time.Second+reorderWindow), 7, nil) {
 		t.Error("an answer without a rate did not end the rate")
 	}
 	if _, named := table.Rate(start.Add(4*time.Second), 7); named {
 		t.Error("the ended rate is still valid")
 	}
-	table.Answered(start.Add(5*time.Second), 7, rate(1))
+	table.RecordAnswer(start.Add(5*time.Second), 7, rate(1))
 	if _, named := table.Rate(start.Add(5*time.Second+minLifetime+time.Second), 7); named {
 		t.Error("a rate is still valid after its lifetime without answers")
 	}
-	table.Answered(start.Add(6*time.Second), 8, rate(0.05))
+	table.RecordAnswer(start.Add(6*time.Second), 8, rate(0.05))
 	if _, named := table.Rate(start.Add(6*time.Second+minLifetime+time.Second), 8); !named {
 		t.Error("a rate of one request in 20 s expired between two answers")
 	}
@@ -123,7 +123,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond)
 			one := rapid.SampledFrom([]*Table{a, b}).Draw(t, "where")
 			key := loadshare.Key(rapid.IntRange(1, 4).Draw(t, "upstream"))
-			one.Answered(now, key, rapid.SampledFrom([]*float64{nil, rate(1), rate(2)}).Draw(t, "rate"))
+			one.RecordAnswer(now, key, rapid.SampledFrom([]*float64{nil, rate(1), rate(2)}).Draw(t, "rate"))
 		}
 		received, err := Decode(now, (&Message{WantsReply: true, Facts: a.Facts(now)}).Encode(now))
 		if err != nil {
@@ -150,13 +150,13 @@
 func TestReceivedRateIsNotAnnouncedAgain(t *testing.T) {
 	named := 1.8702828637465352
 	a, b := NewTable(), NewTable()
-	a.Answered(start, 7, &named)
+	a.RecordAnswer(start, 7, &named)
 	received, err := Decode(start.Add(time.Second), (&Message{Facts: a.Facts(start)}).Encode(start))
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.Merge(start.Add(time.Second), received.Facts)
-	if b.Answered(start.Add(2*time.Second), 7, &named) {
+	if b.RecordAnswer(start.Add(2*time.Second), 7, &named) {
 		t.Error("a rate received from another instance is reported as changed")
 	}
 	if missing := b.Missing(start.Add(2*time.Second), received.Facts); len(missing) > 0 {
@@ -169,7 +169,7 @@
 func TestTableIsBounded(t *testing.T) {
 	table := NewTable()
 	for n := range 2 * maxFacts {
-		table.Answered(start.Add(time.Duration(n)*time.Millisecond), loadshare.Key(n), rate(1))
+		table.RecordAnswer(start.Add(time.Duration(n)*time.Millisecond), loadshare.Key(n), rate(1))
 	}
 	if len(table.facts) != maxFacts {
 		t.Errorf("%d facts", len(table.facts))
