--- a/forward/statements.go
+++ b/forward/statements.go
@@ -31,7 +31,7 @@
 // noteRest notes that an upstream wants nothing from this instance for a time.
 func (f *fleet) noteRest(n *node, wanted time.Duration) {
 	f.mu.Lock()
-	kept := n.rest.Asked(time.Now(), wanted, f.random.Float64())
+	kept := n.rest.Start(time.Now(), wanted, f.random.Float64())
 	f.mu.Unlock()
 	f.changed()
 	f.options.Metrics.askedForRest(n.service)
--- a/throttle/rest.go
+++ b/throttle/rest.go
@@ -25,9 +25,9 @@
 	untested bool // no request sent after the rest has been accepted yet
 }
 
-// Asked records that the upstream requested a rest, and returns how long no
+// Start records that the upstream requested a rest, and returns how long no
 // requests are sent to it. draw is uniform in [0, 1).
-func (r *Rest) Asked(now time.Time, wanted time.Duration, draw float64) time.Duration {
+func (r *Rest) Start(now time.Time, wanted time.Duration, draw float64) time.Duration {
 	duration := min(wanted, MaxRest)
 	duration += time.Duration(draw * float64(min(maxRestSpread, time.Duration(restSpread*float64(duration)))))
 	if until := now.Add(duration); until.After(r.until) {
--- a/throttle/rest_test.go
+++ b/throttle/rest_test.go
@@ -10,7 +10,7 @@
 func TestRestIsBounded(t *testing.T) {
 	for _, wanted := range []time.Duration{MaxRest + time.Second, 1 << 62} {
 		var r Rest
-		if duration := r.Asked(start, wanted, 0.999); duration > MaxRest+maxRestSpread || !r.Holds(start.Add(MaxRest-1)) {
+		if duration := r.Start(start, wanted, 0.999); duration > MaxRest+maxRestSpread || !r.Holds(start.Add(MaxRest-1)) {
 			t.Errorf("a requested rest of %s became %s", wanted, duration)
 		}
 	}
@@ -23,8 +23,8 @@
 	if r.Holds(start) || r.Unsure(start) {
 		t.Error("a rest is in effect although none was requested")
 	}
-	r.Asked(start, 3*time.Second, 0)
-	r.Asked(start.Add(time.Second), time.Second, 0)
+	r.Start(start, 3*time.Second, 0)
+	r.Start(start.Add(time.Second), time.Second, 0)
 	if r.Accepted(start.Add(-time.Second)) || !r.Holds(start.Add(3*time.Second-1)) {
 		t.Error("the rest ended early")
 	}
@@ -44,8 +44,8 @@
 func TestRestsEndAtDifferentTimes(t *testing.T) {
 	for wanted, spread := range map[time.Duration]time.Duration{time.Second: 250 * time.Millisecond, time.Minute: time.Second} {
 		var first, last Rest
-		first.Asked(start, wanted, 0)
-		last.Asked(start, wanted, 1)
+		first.Start(start, wanted, 0)
+		last.Start(start, wanted, 1)
 		if got := last.Until().Sub(first.Until()); got != spread || first.Until().Sub(start) != wanted {
 			t.Errorf("the ends of %s differ by %s, want %s", wanted, got, spread)
 		}
