--- a/forward/resting.go
+++ b/forward/resting.go
@@ -60,7 +60,7 @@
 		rest.open += len(c.nodes)
 		for i, n := range c.nodes {
 			rejects := c.engines[i].Avoid && c.engines[i].Load.Failing >= suspicionsEnough
-			if !n.rest.Unsure(now) && !rejects {
+			if !n.rest.Untested(now) && !rejects {
 				rest.sure++
 			}
 		}
--- a/forward/willing.go
+++ b/forward/willing.go
@@ -35,7 +35,7 @@
 // closed reports whether a node gets no further request now: it wants none, or one is under way
 // that finds out whether it accepts requests after its rest. The lock must be held.
 func (n *node) closed(now time.Time) bool {
-	return n.unwilling(now) != nil || n.rest.Unsure(now) && n.trial != nil
+	return n.unwilling(now) != nil || n.rest.Untested(now) && n.trial != nil
 }
 
 // remembered reports whether what a node has said of itself must be kept although it is not
@@ -46,12 +46,12 @@
 
 // awaitsTrial reports whether a node is to be tried by a call that may be sent once more. The lock
 // must be held.
-func (n *node) awaitsTrial(now time.Time) bool { return n.rest.Unsure(now) && !n.rest.Overdue(now) }
+func (n *node) awaitsTrial(now time.Time) bool { return n.rest.Untested(now) && !n.rest.Overdue(now) }
 
 // beginTrial notes that a send finds out whether a node accepts requests after its rest. The lock
 // must be held.
 func (n *node) beginTrial(now time.Time, w *work) {
-	if n.rest.Unsure(now) && n.trial == nil {
+	if n.rest.Untested(now) && n.trial == nil {
 		n.trial = w
 	}
 }
@@ -67,7 +67,7 @@
 // must be held.
 func (f *fleet) owesRest(now time.Time, service string) bool {
 	for _, n := range f.nodes {
-		if n.service == service && !n.replaced && (n.rest.Holds(now) || n.rest.Unsure(now)) {
+		if n.service == service && !n.replaced && (n.rest.Holds(now) || n.rest.Untested(now)) {
 			return true
 		}
 	}
--- a/throttle/rest.go
+++ b/throttle/rest.go
@@ -43,9 +43,9 @@
 // Until returns the end of the rest, or the zero time if there was none.
 func (r *Rest) Until() time.Time { return r.until }
 
-// Unsure reports whether the rest has ended and the upstream has accepted no
+// Untested reports whether the rest has ended and the upstream has accepted no
 // request since.
-func (r *Rest) Unsure(now time.Time) bool { return r.untested && !r.Holds(now) }
+func (r *Rest) Untested(now time.Time) bool { return r.untested && !r.Holds(now) }
 
 // Overdue reports whether the upstream has remained untested for so long after
 // the rest that any request may be used to test it.
--- a/throttle/rest_test.go
+++ b/throttle/rest_test.go
@@ -20,7 +20,7 @@
 // rest or by an answer to an older request.
 func TestRestIsNotEndedEarly(t *testing.T) {
 	var r Rest
-	if r.Holds(start) || r.Unsure(start) {
+	if r.Holds(start) || r.Untested(start) {
 		t.Error("a rest is in effect although none was requested")
 	}
 	r.Start(start, 3*time.Second, 0)
@@ -29,13 +29,13 @@
 		t.Error("the rest ended early")
 	}
 	end := start.Add(3 * time.Second)
-	if r.Holds(end) || !r.Unsure(end) {
+	if r.Holds(end) || !r.Untested(end) {
 		t.Error("the upstream is not unsure after the end of its rest")
 	}
-	if r.Accepted(end.Add(-1)) || !r.Unsure(end) {
+	if r.Accepted(end.Add(-1)) || !r.Untested(end) {
 		t.Error("a request sent before the end of the rest cleared it")
 	}
-	if !r.Accepted(end) || r.Unsure(end) || r.Accepted(end) {
+	if !r.Accepted(end) || r.Untested(end) || r.Accepted(end) {
 		t.Error("a request sent after the end of the rest did not clear it exactly once")
 	}
 }
