--- a/forward/willing.go
+++ b/forward/willing.go
@@ -25,7 +25,7 @@
 	switch {
 	case !n.leavingAt.IsZero():
 		return errLeaving
-	case n.rest.Holds(now):
+	case n.rest.Active(now):
 		return errResting
 	default:
 		return nil
@@ -41,7 +41,7 @@
 // remembered reports whether what a node has said of itself must be kept although it is not
 // listed any more. The lock must be held.
 func (n *node) remembered(now time.Time) bool {
-	return n.rest.Holds(now) || !n.leavingAt.IsZero() && now.Sub(n.leavingAt) < leavingKept
+	return n.rest.Active(now) || !n.leavingAt.IsZero() && now.Sub(n.leavingAt) < leavingKept
 }
 
 // awaitsTrial reports whether a node is to be tried by a call that may be sent once more. The lock
@@ -67,7 +67,7 @@
 // must be held.
 func (f *fleet) owesRest(now time.Time, service string) bool {
 	for _, n := range f.nodes {
-		if n.service == service && !n.replaced && (n.rest.Holds(now) || n.rest.Untested(now)) {
+		if n.service == service && !n.replaced && (n.rest.Active(now) || n.rest.Untested(now)) {
 			return true
 		}
 	}
@@ -80,7 +80,7 @@
 	defer f.mu.Unlock()
 	count := 0
 	for _, n := range f.nodes {
-		if !n.replaced && n.rest.Holds(now) {
+		if !n.replaced && n.rest.Active(now) {
 			count++
 		}
 	}
@@ -91,7 +91,7 @@
 func (f *fleet) rests(n *node) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return n.rest.Holds(time.Now())
+	return n.rest.Active(time.Now())
 }
 
 // withdrawn returns the engine of a send that has come to want nothing from this instance since
--- a/throttle/rest.go
+++ b/throttle/rest.go
@@ -37,15 +37,15 @@
 	return r.until.Sub(now)
 }
 
-// Holds reports whether the rest is still in effect.
-func (r *Rest) Holds(now time.Time) bool { return now.Before(r.until) }
+// Active reports whether the rest is still in effect.
+func (r *Rest) Active(now time.Time) bool { return now.Before(r.until) }
 
 // Until returns the end of the rest, or the zero time if there was none.
 func (r *Rest) Until() time.Time { return r.until }
 
 // Untested reports whether the rest has ended and the upstream has accepted no
 // request since.
-func (r *Rest) Untested(now time.Time) bool { return r.untested && !r.Holds(now) }
+func (r *Rest) Untested(now time.Time) bool { return r.untested && !r.Active(now) }
 
 // Overdue reports whether the upstream has remained untested for so long after
 // the rest that any request may be used to test it.
--- a/throttle/rest_test.go
+++ b/throttle/rest_test.go
@@ -10,7 +10,7 @@
 func TestRestIsBounded(t *testing.T) {
 	for _, wanted := range []time.Duration{MaxRest + time.Second, 1 << 62} {
 		var r Rest
-		if duration := r.Start(start, wanted, 0.999); duration > MaxRest+maxRestSpread || !r.Holds(start.Add(MaxRest-1)) {
+		if duration := r.Start(start, wanted, 0.999); duration > MaxRest+maxRestSpread || !r.Active(start.Add(MaxRest-1)) {
 			t.Errorf("a requested rest of %s became %s", wanted, duration)
 		}
 	}
@@ -20,16 +20,16 @@
 // rest or by an answer to an older request.
 func TestRestIsNotEndedEarly(t *testing.T) {
 	var r Rest
-	if r.Holds(start) || r.Untested(start) {
+	if r.Active(start) || r.Untested(start) {
 		t.Error("a rest is in effect although none was requested")
 	}
 	r.Start(start, 3*time.Second, 0)
 	r.Start(start.Add(time.Second), time.Second, 0)
-	if r.Accepted(start.Add(-time.Second)) || !r.Holds(start.Add(3*time.Second-1)) {
+	if r.Accepted(start.Add(-time.Second)) || !r.Active(start.Add(3*time.Second-1)) {
 		t.Error("the rest ended early")
 	}
 	end := start.Add(3 * time.Second)
-	if r.Holds(end) || !r.Untested(end) {
+	if r.Active(end) || !r.Untested(end) {
 		t.Error("the upstream is not unsure after the end of its rest")
 	}
 	if r.Accepted(end.Add(-1)) || !r.Untested(end) {
