--- a/control/issuer.go
+++ b/control/issuer.go
@@ -59,8 +59,8 @@
 	return order.Issuer{}
 }
 
-// Wishes implements order.Source.
-func (s orderSource) Wishes() *settings.Tree { return s.node.View().Tree }
+// DesiredState implements order.Source.
+func (s orderSource) DesiredState() *settings.Tree { return s.node.View().Tree }
 
 // Upstreams implements order.Source.
 func (s orderSource) Upstreams() *upstream.Snapshot { return s.node.View().Upstreams }
--- a/order/driver.go
+++ b/order/driver.go
@@ -18,7 +18,7 @@
 // goroutine and do not block.
 type Source interface {
 	Issuer() Issuer
-	Wishes() *settings.Tree
+	DesiredState() *settings.Tree
 	Upstreams() *upstream.Snapshot
 }
 
@@ -86,7 +86,7 @@
 
 func (d *Driver) round(ctx context.Context) {
 	now := d.opts.Clock.Now()
-	actions := d.reconciler.Step(now, d.source.Issuer(), d.source.Wishes(), d.source.Upstreams())
+	actions := d.reconciler.Step(now, d.source.Issuer(), d.source.DesiredState(), d.source.Upstreams())
 	for _, a := range actions {
 		go d.execute(ctx, a)
 	}
--- a/order/driver_test.go
+++ b/order/driver_test.go
@@ -24,7 +24,7 @@
 }
 
 func (s *fixedSource) Issuer() Issuer                { return *s.issuer.Load() }
-func (s *fixedSource) Wishes() *settings.Tree        { return nil }
+func (s *fixedSource) DesiredState() *settings.Tree  { return nil }
 func (s *fixedSource) Upstreams() *upstream.Snapshot { return nil }
 
 // countingEngine reads and counts each call and closes the connection without
