--- a/control/issuer.go
+++ b/control/issuer.go
@@ -26,9 +26,9 @@
 		l.issuerAt = now
 	}
 	l.core.node.issuer.Store(&order.Issuer{
-		Fence:   issuer.Fence,
-		TakenAt: l.issuerAt,
-		Until:   g.node.Status().LeaseUntil,
+		Fence: issuer.Fence,
+		Since: l.issuerAt,
+		Until: g.node.Status().LeaseUntil,
 	})
 }
 
--- a/order/reconciler_test.go
+++ b/order/reconciler_test.go
@@ -89,7 +89,7 @@
 }
 
 func issuerOf(term uint64, takenAt time.Time) Issuer {
-	return Issuer{Fence: state.Fence{Term: term, Index: term}, TakenAt: takenAt, Until: takenAt.Add(time.Hour)}
+	return Issuer{Fence: state.Fence{Term: term, Index: term}, Since: takenAt, Until: takenAt.Add(time.Hour)}
 }
 
 // testingT is the interface shared by testing.T and rapid.T.
