--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// List is the set of quarantined requests at one version of a Book. It is
+// List is the set of quarantined requests at one version of a Registry. It is
 // immutable; nil is an empty list.
 type List struct {
 	version  uint64
@@ -18,7 +18,7 @@
 	return l
 }
 
-// Version returns the version of the book, or 0 if the list is nil.
+// Version returns the version of the registry, or 0 if the list is nil.
 func (l *List) Version() uint64 {
 	if l == nil {
 		return 0
--- a/quarantine/book.go
+++ b/quarantine/registry.go
@@ -7,7 +7,7 @@
 )
 
 // Limits configure when a request is quarantined, and how long and how many
-// records a Book keeps.
+// records a Registry keeps.
 type Limits struct {
 	Started   int           // incarnations that ended after starting to run a request
 	Any       int           // incarnations that ended while holding the request in any state
@@ -25,9 +25,9 @@
 	Records:   1024,
 }
 
-// Registry collects evidence and decides which requests are quarantined. Two books
-// that apply the same evidence in the same order are equal. It is not safe for
-// concurrent use.
+// Registry collects evidence and decides which requests are quarantined. Two
+// registries that apply the same evidence in the same order are equal. It is
+// not safe for concurrent use.
 type Registry struct {
 	Records []Record `json:"records,omitempty"` // ordered by the time of the last evidence, oldest first
 	Version uint64   `json:"version,omitempty"` // position of the last change of the quarantined requests
@@ -45,7 +45,7 @@
 }
 
 // Apply applies evidence. position increases with each call that may change the
-// book.
+// registry.
 func (b *Registry) Apply(now time.Time, position uint64, limits *Limits, evidence []Evidence) {
 	for i := range evidence {
 		b.apply(now, &evidence[i])
--- a/quarantine/book_test.go
+++ b/quarantine/registry_test.go
@@ -116,9 +116,9 @@
 				Outcome:  Outcome(rapid.IntRange(0, int(Answered)).Draw(t, "outcome")),
 				Upstream: rapid.Uint64Range(1, 8).Draw(t, "upstream"),
 			}
-			for _, book := range []*Registry{a, b} {
-				book.Expire(now, position+1, &limits)
-				book.Apply(now, position+1, &limits, []Evidence{e, e})
+			for _, registry := range []*Registry{a, b} {
+				registry.Expire(now, position+1, &limits)
+				registry.Apply(now, position+1, &limits, []Evidence{e, e})
 			}
 			if after := a.List(); a.Version == version && !reflect.DeepEqual(before.requests, after.requests) {
 				t.Fatalf("the list changed from %v to %v without a new version", before.requests, after.requests)
--- a/throttle/message.go
+++ b/throttle/message.go
@@ -10,8 +10,8 @@
 	"celeryport/loadshare"
 )
 
-// MaxFactsPerMessage is the maximum number of facts in one message, so that it fits
-// into a packet.
+// MaxFactsPerMessage is the maximum number of facts in one message, so that it
+// fits into a packet.
 const MaxFactsPerMessage = 60
 
 const (
--- a/throttle/rest_test.go
+++ b/throttle/rest_test.go
@@ -30,7 +30,7 @@
 	}
 	end := start.Add(3 * time.Second)
 	if r.Active(end) || !r.Untested(end) {
-		t.Error("the upstream is not unsure after the end of its rest")
+		t.Error("the upstream does not count as untested after the end of its rest")
 	}
 	if r.Accepted(end.Add(-1)) || !r.Untested(end) {
 		t.Error("a request sent before the end of the rest cleared it")
--- a/throttle/table.go
+++ b/throttle/table.go
@@ -27,8 +27,8 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{facts: map[loadshare.Key]Fact{}} }
 
-// RecordAnswer records an answer of an upstream to this instance with the rate that
-// it specified, or nil if it specified none. It reports whether the other
+// RecordAnswer records an answer of an upstream to this instance with the rate
+// that it specified, or nil if it specified none. It reports whether the other
 // instances must be notified at once.
 func (t *Table) RecordAnswer(now time.Time, upstream loadshare.Key, rate *float64) bool {
 	known, found := t.facts[upstream]
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -87,10 +87,10 @@
 func TestNewestAnswerHolds(t *testing.T) {
 	table := NewTable()
 	if !table.RecordAnswer(start, 7, rate(1.2)) || table.RecordAnswer(start.Add(time.Second), 7, rate(1.2)) {
-		t.Error("Answered must report only the first answer")
+		t.Error("RecordAnswer must report only the first answer")
 	}
 	if !table.RecordAnswer(start.Add(2*time.Second), 7, rate(1)) {
-		t.Error("Answered did not report a changed rate")
+		t.Error("RecordAnswer did not report a changed rate")
 	}
 	if table.RecordAnswer(start.Add(2*time.Second+reorderWindow/2), 7, nil) {
 		t.Error("a reordered answer without a rate ended the rate")
