--- a/control/state/machine.go
+++ b/control/state/machine.go
@@ -95,7 +95,7 @@
 		return Outcome{}, nil
 	}
 	if len(command.Evidence) > 0 {
-		m.content.Quarantine.Apply(m.content.Clock, index, &quarantine.FleetLimits, command.Evidence)
+		m.content.Quarantine.AddEvidence(m.content.Clock, index, &quarantine.FleetLimits, command.Evidence)
 		return Outcome{}, nil
 	}
 	if command.Document != nil {
--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -80,7 +80,7 @@
 func (s *suspects) report(now time.Time, e quarantine.Evidence) {
 	s.taken++
 	s.own.Expire(now, s.taken, &ownLimits)
-	s.own.Apply(now, s.taken, &ownLimits, []quarantine.Evidence{e})
+	s.own.AddEvidence(now, s.taken, &ownLimits, []quarantine.Evidence{e})
 	s.options.Plane.ReportEvidence(e)
 	eventEvidence.Log(s.options.Log, event.Fields{"request": e.Request.String(), "outcome": e.Outcome.String(), "upstream": e.Upstream})
 }
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -44,9 +44,9 @@
 	Quarantined bool        `json:"quarantined,omitempty"`
 }
 
-// Apply applies evidence. position increases with each call that may change the
-// registry.
-func (b *Registry) Apply(now time.Time, position uint64, limits *Limits, evidence []Evidence) {
+// AddEvidence adds evidence. position increases with each call that may change
+// the registry.
+func (b *Registry) AddEvidence(now time.Time, position uint64, limits *Limits, evidence []Evidence) {
 	for i := range evidence {
 		b.apply(now, &evidence[i])
 	}
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -26,7 +26,7 @@
 func take(evidence ...Evidence) *Registry {
 	b := &Registry{}
 	for i, e := range evidence {
-		b.Apply(start, uint64(i+1), &FleetLimits, []Evidence{e})
+		b.AddEvidence(start, uint64(i+1), &FleetLimits, []Evidence{e})
 	}
 	return b
 }
@@ -37,7 +37,7 @@
 	if b.Quarantined(request(7)) || b.Version != 0 {
 		t.Error("quarantined after two crashes")
 	}
-	b.Apply(start, 3, &FleetLimits, []Evidence{ended(7, 3)})
+	b.AddEvidence(start, 3, &FleetLimits, []Evidence{ended(7, 3)})
 	if !b.Quarantined(request(7)) || b.Version != 3 || !b.List().Contains(request(7)) {
 		t.Errorf("not quarantined after three crashes: %+v", b)
 	}
@@ -59,7 +59,7 @@
 	if b.Quarantined(request(7)) {
 		t.Error("a request that was only queued is quarantined")
 	}
-	b.Apply(start, 5, &FleetLimits, []Evidence{waiting(7, 5)})
+	b.AddEvidence(start, 5, &FleetLimits, []Evidence{waiting(7, 5)})
 	if !b.Quarantined(request(7)) {
 		t.Error("a request that crashes engines before they start to answer is not quarantined")
 	}
@@ -73,7 +73,7 @@
 		t.Error("crashes before an answer are counted")
 	}
 	b = take(ended(7, 1), ended(7, 2), ended(7, 3))
-	b.Apply(start, 9, &FleetLimits, []Evidence{{Request: request(7), Outcome: Answered}})
+	b.AddEvidence(start, 9, &FleetLimits, []Evidence{{Request: request(7), Outcome: Answered}})
 	if b.Quarantined(request(7)) || b.Version != 9 {
 		t.Errorf("an answer did not end the quarantine: %+v", b)
 	}
@@ -93,7 +93,7 @@
 	}
 	b = take(ended(7, 1), ended(7, 2), ended(7, 3))
 	for n := range 2 * FleetLimits.Records {
-		b.Apply(start, uint64(n+4), &FleetLimits, []Evidence{ended(uint64(100+n), 1)})
+		b.AddEvidence(start, uint64(n+4), &FleetLimits, []Evidence{ended(uint64(100+n), 1)})
 	}
 	if len(b.Records) != FleetLimits.Records || !b.Quarantined(request(7)) {
 		t.Errorf("%d records; quarantined request kept: %t", len(b.Records), b.Quarantined(request(7)))
@@ -118,7 +118,7 @@
 			}
 			for _, registry := range []*Registry{a, b} {
 				registry.Expire(now, position+1, &limits)
-				registry.Apply(now, position+1, &limits, []Evidence{e, e})
+				registry.AddEvidence(now, position+1, &limits, []Evidence{e, e})
 			}
 			if after := a.List(); a.Version == version && !reflect.DeepEqual(before.requests, after.requests) {
 				t.Fatalf("the list changed from %v to %v without a new version", before.requests, after.requests)
@@ -184,13 +184,13 @@
 		t.Error("not quarantined after three crashes without a known cause")
 	}
 	for n, e := range []Evidence{ended(first, 13), ended(first, 14), ended(second, 23)} {
-		b.Apply(start, uint64(100+n), &FleetLimits, []Evidence{e})
+		b.AddEvidence(start, uint64(100+n), &FleetLimits, []Evidence{e})
 	}
 	if b.Quarantined(request(beside)) || !b.Quarantined(request(first)) || !b.Quarantined(request(second)) || b.Version < 100 {
 		t.Errorf("wrong records after the causes were identified: %+v", b)
 	}
 	for n, e := range []Evidence{ended(beside, 31), ended(beside, 32)} {
-		b.Apply(start, uint64(200+n), &FleetLimits, []Evidence{e})
+		b.AddEvidence(start, uint64(200+n), &FleetLimits, []Evidence{e})
 	}
 	if !b.Quarantined(request(beside)) {
 		t.Error("a request that crashed five engines is not quarantined")
