--- a/dispatch/finish.go
+++ b/dispatch/finish.go
@@ -51,7 +51,7 @@
 	j.account.Usage.Add(now, -float64(max(0, unused)))
 	probe := j.probe
 	s.endSends(j)
-	s.remove(j)
+	s.deleteJob(j)
 	if probe {
 		s.table.Rebuild(now)
 	}
@@ -127,12 +127,12 @@
 		s.dequeue(j)
 	}
 	_ = now
-	s.remove(j)
+	s.deleteJob(j)
 	s.refuse(r, err)
 }
 
-// remove removes a job that is in no queue and has no sends.
-func (s *Scheduler) remove(j *job) {
+// deleteJob removes a job that is in no queue and has no sends.
+func (s *Scheduler) deleteJob(j *job) {
 	a := j.account
 	a.InFlight--
 	a.InFlightTokens -= j.request.PromptTokens
@@ -158,7 +158,7 @@
 	default:
 	}
 	target := j.lane.target
-	s.remove(j)
+	s.deleteJob(j)
 	s.pumpTarget(now, target)
 }
 
--- a/dispatch/lane_queue.go
+++ b/dispatch/lane_queue.go
@@ -22,8 +22,8 @@
 const latenessGain = 0.1
 
 // observeLateness records the delay of a first token relative to its prediction.
-func (l *laneQueue) observeLateness(late time.Duration) {
-	l.lateness += time.Duration(latenessGain * float64(max(0, late)-l.lateness))
+func (l *laneQueue) observeLateness(lateness time.Duration) {
+	l.lateness += time.Duration(latenessGain * float64(max(0, lateness)-l.lateness))
 }
 
 // laneKind identifies a lane.
--- a/dispatch/predict.go
+++ b/dispatch/predict.go
@@ -67,12 +67,12 @@
 // checkDeadline refuses a request that is predicted to miss its deadline.
 func (s *Scheduler) checkDeadline(now time.Time, j *job, pool *routing.Pool) *verdict.Error {
 	r := j.request
-	wait := s.queueWait(now, j)
-	need := wait + s.serviceTime(j, pool) + s.config.Margin
+	queueWait := s.queueWait(now, j)
+	need := queueWait + s.serviceTime(j, pool) + s.config.Margin
 	remaining := r.Remaining(now)
 	if need <= remaining {
 		return nil
 	}
-	after := min(wait, need-remaining)
+	after := min(queueWait, need-remaining)
 	return verdict.Refuse(verdict.ReasonDeadline, after, "needs %v, has %v", need.Round(time.Millisecond), remaining.Round(time.Millisecond))
 }
--- a/order/desired.go
+++ b/order/desired.go
@@ -29,8 +29,8 @@
 	value  string
 }
 
-// changes returns at most one order for each engine that can be sent one now.
-func (r *Reconciler) changes(now time.Time, tree *settings.Tree) []change {
+// nextChanges returns at most one order for each engine that can be sent one now.
+func (r *Reconciler) nextChanges(now time.Time, tree *settings.Tree) []change {
 	var changes []change
 	assigned := map[string]bool{}
 	for _, c := range r.replicaChanges(tree) {
@@ -59,7 +59,7 @@
 // replicaChanges returns orders that load models with too few replicas onto
 // engines that serve no model of the tree, and unload models with too many.
 func (r *Reconciler) replicaChanges(tree *settings.Tree) []change {
-	spare := r.spareEngines(tree)
+	spare := r.spare(tree)
 	var changes []change
 	for _, m := range tree.Models {
 		if m.Replicas == 0 {
@@ -91,9 +91,9 @@
 	return found
 }
 
-// spareEngines returns the fresh engines that are known to serve no model of
+// spare returns the fresh engines that are known to serve no model of
 // the tree.
-func (r *Reconciler) spareEngines(tree *settings.Tree) []*engine {
+func (r *Reconciler) spare(tree *settings.Tree) []*engine {
 	var found []*engine
 	for _, e := range r.sorted() {
 		if e.fresh && e.state != nil && e.pending == nil && !servesAny(e, tree) {
--- a/order/reconciler.go
+++ b/order/reconciler.go
@@ -51,7 +51,7 @@
 	}
 	r.applySnapshot(now, s)
 	actions := r.reads(now)
-	for _, o := range r.changes(now, tree) {
+	for _, o := range r.nextChanges(now, tree) {
 		actions = append(actions, r.issue(now, o))
 	}
 	return actions
--- a/routing/lane.go
+++ b/routing/lane.go
@@ -131,7 +131,7 @@
 	return outside[l.rank*len(outside)/l.peers]
 }
 
-// inside and outside return the two sides of a pool; open returns the lane
+// inside and outside return the two sides of a pool; available returns the lane
 // nodes that accept long prompts.
 func (l *lane) inside() []*Node    { return l.order[:l.size] }
 func (l *lane) available() []*Node { return l.order[l.cleared:l.size] }
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -20,7 +20,7 @@
 	sorted     []float64
 	nodeRate   float64
 	decodeRate float64
-	rate       float64   // sum of the prefill rates of open, each capped at nodeRate
+	rate       float64   // sum of the prefill rates of active, each capped at nodeRate
 	largest    int       // largest memory of a single node
 	memory     int       // total memory of all
 	nextProbe  time.Time // when the next ejected node is due for a probe
--- a/routing/requirements.go
+++ b/routing/requirements.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Requirements describes the requirements of a request on an upstream.
+// Requirements describes what a request needs from an upstream.
 type Requirements struct {
 	Prefill      int // prompt tokens
 	Memory       int
