--- a/order/desired.go
+++ b/order/desired.go
@@ -91,8 +91,7 @@
 	return found
 }
 
-// spare returns the fresh engines that are known to serve no model of
-// the tree.
+// spare returns the fresh engines that are known to serve no model of the tree.
 func (r *Reconciler) spare(tree *settings.Tree) []*engine {
 	var found []*engine
 	for _, e := range r.sorted() {
--- a/order/reconciler.go
+++ b/order/reconciler.go
@@ -97,7 +97,7 @@
 	return e.fencing == upstream.FencingChecked || r.issuer.FormerIssuersStopped(now, r.timing.TakeoverDelay)
 }
 
-// reads returns a read for each engine whose state is not known.
+// reads returns a read action for each engine whose state is not known.
 func (r *Reconciler) reads(now time.Time) []Action {
 	var actions []Action
 	for _, e := range r.sorted() {
@@ -152,10 +152,10 @@
 	r.record(now, e.name, result.Order, "refused", result.Reason)
 }
 
-// handleLostAnswer handles a lost answer. It is unknown whether the
-// order was executed, so the engine's state must be read before the next order.
-// The backoff is longer than the call's timeout, so a call that is still in
-// transit has arrived or failed by then.
+// handleLostAnswer starts the backoff after a lost answer. It is unknown
+// whether the order was executed, so the engine's state must be read before the
+// next order. The backoff is longer than the call's timeout, so a call that is
+// still in transit has arrived or failed by then.
 func (r *Reconciler) handleLostAnswer(now time.Time, e *engine, result Result) {
 	e.state = nil
 	e.backoffUntil = now.Add(r.timing.Backoff)
--- a/routing/lane.go
+++ b/routing/lane.go
@@ -120,8 +120,8 @@
 
 // ownNode returns the node outside the lane that this instance prefers for
 // small prompts. The instances are spread evenly over these nodes, so most
-// requests on an instance's own node are its own and already accounted
-// for: reports are too old to show other instances' small prompts, which take a
+// requests on an instance's own node are its own and already accounted for:
+// reports are too old to show other instances' small prompts, which take a
 // tenth of a second.
 func (l *lane) ownNode() *Node {
 	outside := l.outside()
--- a/routing/report.go
+++ b/routing/report.go
@@ -47,8 +47,8 @@
 	return r
 }
 
-// remaining returns the reported prefill that remains: the reported amount
-// minus the amount prefilled since the report was measured. Without this
+// remaining returns the reported prefill that is still queued: the reported
+// amount minus the amount prefilled since the report was measured. Without this
 // correction the queue of a finished burst would keep requests away, and all
 // instances would send to the one upstream that reported last.
 func (r *report) remaining(now time.Time) (short, long float64) {
--- a/throttle/rest.go
+++ b/throttle/rest.go
@@ -11,8 +11,9 @@
 	// the same time do not all resume at the same time.
 	restSpread    = 0.25
 	maxRestSpread = time.Second
-	// trialWait is how long after a rest only requests that may be rejected
-	// without harm are used to test the upstream; after that any request is.
+	// trialWait is how long after a rest the upstream is tested only with
+	// requests that may be rejected without harm; after that any request is
+	// used.
 	trialWait = time.Second
 )
 
