--- a/control/state/machine.go
+++ b/control/state/machine.go
@@ -32,7 +32,7 @@
 	Issuer  Issuer      `json:"issuer"`
 	Epoch   claim.Epoch `json:"epoch"`
 
-	Quarantine quarantine.Book `json:"quarantine,omitzero"`
+	Quarantine quarantine.Registry `json:"quarantine,omitzero"`
 }
 
 // New returns the empty state.
@@ -95,7 +95,7 @@
 		return Outcome{}, nil
 	}
 	if len(command.Evidence) > 0 {
-		m.content.Quarantine.Take(m.content.Clock, index, &quarantine.FleetLimits, command.Evidence)
+		m.content.Quarantine.AddEvidence(m.content.Clock, index, &quarantine.FleetLimits, command.Evidence)
 		return Outcome{}, nil
 	}
 	if command.Document != nil {
--- a/dispatch/decision_bench_test.go
+++ b/dispatch/decision_bench_test.go
@@ -10,8 +10,8 @@
 	"celeryport/upstream"
 )
 
-// BenchmarkDecision measures one admission with its choice of an upstream, the
-// first token and the end: all that the policy does for one short prompt.
+// BenchmarkDecision measures the work of the policy for one short prompt: its
+// admission, the choice of an upstream, the first token and the end.
 func BenchmarkDecision(b *testing.B) {
 	for _, count := range []int{26, 600, 2400} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) { benchmarkDecision(b, count) })
@@ -27,7 +27,7 @@
 	}
 	s.Observe(now, engines(now, count, loaded))
 	s.Offer(now, prompt("warm", 50_000, now))
-	s.Granted(now, []quota.Grant{{
+	s.ApplyGrants(now, []quota.Grant{{
 		Organisation: "bottega", Lease: time.Hour, Rank: 3, Peers: 9,
 		FleetMix: quota.Mix{Small: 100_000, Middle: 500_000, Long: float64(count) * 10_000},
 	}})
--- a/forward/availability.go
+++ b/forward/availability.go
@@ -26,7 +26,7 @@
 	switch {
 	case !n.leavingAt.IsZero():
 		return errLeaving
-	case n.rest.Holds(now):
+	case n.rest.Active(now):
 		return errResting
 	default:
 		return nil
@@ -37,23 +37,23 @@
 // request in flight is already probing whether it accepts requests after its rest period. The
 // lock must be held.
 func (n *node) blocked(now time.Time) bool {
-	return n.unavailable(now) != nil || n.rest.Unsure(now) && n.probe != nil
+	return n.unavailable(now) != nil || n.rest.Untested(now) && n.probe != nil
 }
 
 // mustRetain reports whether the node's statements must be kept although it is no longer listed.
 // The lock must be held.
 func (n *node) mustRetain(now time.Time) bool {
-	return n.rest.Holds(now) || !n.leavingAt.IsZero() && now.Sub(n.leavingAt) < leavingRetention
+	return n.rest.Active(now) || !n.leavingAt.IsZero() && now.Sub(n.leavingAt) < leavingRetention
 }
 
 // needsProbe reports whether a node has to be probed by a call that can still be sent again. The
 // lock must be held.
-func (n *node) needsProbe(now time.Time) bool { return n.rest.Unsure(now) && !n.rest.Overdue(now) }
+func (n *node) needsProbe(now time.Time) bool { return n.rest.Untested(now) && !n.rest.Overdue(now) }
 
 // beginProbe makes a send the probe for whether a node accepts requests after its rest period,
 // if one is needed and none is in flight. The lock must be held.
 func (n *node) beginProbe(now time.Time, w *work) {
-	if n.rest.Unsure(now) && n.probe == nil {
+	if n.rest.Untested(now) && n.probe == nil {
 		n.probe = w
 	}
 }
@@ -69,7 +69,7 @@
 // rest period. The lock must be held.
 func (f *fleet) hasResting(now time.Time, service string) bool {
 	for _, n := range f.nodes {
-		if n.service == service && !n.replaced && (n.rest.Holds(now) || n.rest.Unsure(now)) {
+		if n.service == service && !n.replaced && (n.rest.Active(now) || n.rest.Untested(now)) {
 			return true
 		}
 	}
@@ -82,7 +82,7 @@
 	defer f.mu.Unlock()
 	count := 0
 	for _, n := range f.nodes {
-		if !n.replaced && n.rest.Holds(now) {
+		if !n.replaced && n.rest.Active(now) {
 			count++
 		}
 	}
@@ -93,7 +93,7 @@
 func (f *fleet) isResting(n *node) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return n.rest.Holds(time.Now())
+	return n.rest.Active(time.Now())
 }
 
 // unavailableNode returns an engine of a send that has become unavailable since it was chosen,
--- a/forward/rates.go
+++ b/forward/rates.go
@@ -37,7 +37,7 @@
 	}
 	now := time.Now()
 	f.mu.Lock()
-	changed := f.rates.table.Answered(now, n.key, a.Rate)
+	changed := f.rates.table.RecordAnswer(now, n.key, a.Rate)
 	if changed {
 		f.rates.changes = append(f.rates.changes, f.rates.table.Fact(n.key))
 	}
--- a/forward/rates_sharing.go
+++ b/forward/rates_sharing.go
@@ -90,12 +90,12 @@
 // sendRates sends facts in as many datagrams as needed. If asks is set, one is sent even without
 // facts.
 func (s *Server) sendRates(now time.Time, conn net.PacketConn, to []netip.AddrPort, kind datagram.Kind, facts []throttle.Fact, asks bool) {
-	for chunk := range slices.Chunk(facts, throttle.MostInMessage) {
-		message := throttle.Message{Asks: asks, Facts: chunk}
+	for chunk := range slices.Chunk(facts, throttle.MaxFactsPerMessage) {
+		message := throttle.Message{WantsReply: asks, Facts: chunk}
 		s.sendTo(conn, to, kind, message.Encode(now))
 	}
 	if asks && len(facts) == 0 {
-		message := throttle.Message{Asks: true}
+		message := throttle.Message{WantsReply: true}
 		s.sendTo(conn, to, kind, message.Encode(now))
 	}
 }
@@ -112,7 +112,7 @@
 	f.mu.Lock()
 	f.rates.table.Merge(now, message.Facts)
 	var missing []throttle.Fact
-	if message.Asks {
+	if message.WantsReply {
 		missing = f.rates.table.Missing(now, message.Facts)
 	}
 	f.mu.Unlock()
--- a/forward/resting.go
+++ b/forward/resting.go
@@ -61,7 +61,7 @@
 		rest.available += len(c.nodes)
 		for i, n := range c.nodes {
 			rejects := c.engines[i].Avoid && c.engines[i].Load.Failing >= suspicionQuorum
-			if !n.rest.Unsure(now) && !rejects {
+			if !n.rest.Untested(now) && !rejects {
 				rest.likely++
 			}
 		}
--- a/forward/statements.go
+++ b/forward/statements.go
@@ -31,7 +31,7 @@
 // recordRest records that an upstream wants no requests from this instance for a time.
 func (f *fleet) recordRest(n *node, wanted time.Duration) {
 	f.mu.Lock()
-	kept := n.rest.Asked(time.Now(), wanted, f.random.Float64())
+	kept := n.rest.Start(time.Now(), wanted, f.random.Float64())
 	f.mu.Unlock()
 	f.notifyChanged()
 	f.options.Metrics.restAsked(n.service)
--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -29,7 +29,7 @@
 	options *Options
 
 	mu       sync.Mutex
-	local    quarantine.Book
+	local    quarantine.Registry
 	position uint64 // position in local
 	answered *quarantine.Recent
 }
@@ -70,7 +70,7 @@
 	listed := s.view().Quarantine.Contains(request)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answered.Note(request)
+	s.answered.Add(request)
 	if listed || s.local.Known(request) {
 		s.report(now, quarantine.Evidence{Request: request, Outcome: quarantine.Answered})
 	}
@@ -80,7 +80,7 @@
 func (s *suspects) report(now time.Time, e quarantine.Evidence) {
 	s.position++
 	s.local.Expire(now, s.position, &localLimits)
-	s.local.Take(now, s.position, &localLimits, []quarantine.Evidence{e})
+	s.local.AddEvidence(now, s.position, &localLimits, []quarantine.Evidence{e})
 	s.options.Plane.ReportEvidence(e)
 	eventEvidence.Log(s.options.Log, event.Fields{"request": e.Request.String(), "outcome": e.Outcome.String(), "upstream": e.Upstream})
 }
--- /dev/null
+++ b/quarantine/registry.go
@@ -0,0 +1,177 @@
+package quarantine
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// Limits configure when a request is quarantined, and how long and how many
+// records a Registry keeps.
+type Limits struct {
+	Started   int           // incarnations that ended after starting to run a request
+	Any       int           // incarnations that ended while holding the request in any state
+	Suspected time.Duration // lifetime of a suspected request's record after the last evidence
+	Retention time.Duration // lifetime of a quarantined request's record after the last evidence
+	Records   int           // maximum number of records
+}
+
+// FleetLimits apply to the combined evidence of all instances.
+var FleetLimits = Limits{
+	Started:   3,
+	Any:       5,
+	Suspected: 10 * time.Minute,
+	Retention: time.Hour,
+	Records:   1024,
+}
+
+// Registry collects evidence and decides which requests are quarantined. Two
+// registries that apply the same evidence in the same order are equal. It is
+// not safe for concurrent use.
+type Registry struct {
+	Records []Record `json:"records,omitempty"` // ordered by the time of the last evidence, oldest first
+	Version uint64   `json:"version,omitempty"` // position of the last change of the quarantined requests
+
+	removed bool // a quarantined request was removed since the last decision
+}
+
+// Record is the evidence against one request.
+type Record struct {
+	Request     Fingerprint `json:"request"`
+	Started     []uint64    `json:"started,omitempty"` // incarnations that ended after starting to run it
+	Waiting     []uint64    `json:"waiting,omitempty"` // other incarnations that ended while holding it
+	At          time.Time   `json:"at"`                // time of the last evidence
+	Quarantined bool        `json:"quarantined,omitempty"`
+}
+
+// AddEvidence adds evidence. position increases with each call that may change
+// the registry.
+func (b *Registry) AddEvidence(now time.Time, position uint64, limits *Limits, evidence []Evidence) {
+	for i := range evidence {
+		b.apply(now, &evidence[i])
+	}
+	b.evictExcess(limits)
+	b.decide(position, limits)
+}
+
+func (b *Registry) apply(now time.Time, e *Evidence) {
+	record := Record{Request: e.Request}
+	if at := b.find(e.Request); at >= 0 {
+		record = b.Records[at]
+		b.Records = slices.Delete(b.Records, at, at+1)
+	}
+	if e.Outcome == Answered {
+		b.removed = b.removed || record.Quarantined
+		return
+	}
+	record.add(e)
+	record.At = now
+	b.Records = append(b.Records, record)
+}
+
+// maxUpstreams bounds the incarnations listed in a record.
+const maxUpstreams = 16
+
+func (r *Record) add(e *Evidence) {
+	if slices.Contains(r.Started, e.Upstream) {
+		return
+	}
+	r.Waiting = slices.DeleteFunc(slices.Clone(r.Waiting), func(key uint64) bool { return key == e.Upstream })
+	switch {
+	case r.upstreamCount() >= maxUpstreams:
+	case e.Outcome == EndedStarted:
+		r.Started = append(slices.Clone(r.Started), e.Upstream)
+	default:
+		r.Waiting = append(r.Waiting, e.Upstream)
+	}
+}
+
+// upstreamCount returns the number of incarnations that ended with the request.
+func (r *Record) upstreamCount() int { return len(r.Started) + len(r.Waiting) }
+
+// decide determines which requests are quarantined, in order of decreasing
+// evidence. A crash explained by a quarantined request is weak evidence against
+// the other requests on that upstream: when crashes are frequent, innocent
+// requests that run beside the causes are hit several times.
+func (b *Registry) decide(position uint64, limits *Limits) {
+	order := make([]*Record, len(b.Records))
+	for i := range b.Records {
+		order[i] = &b.Records[i]
+	}
+	slices.SortStableFunc(order, func(a, b *Record) int {
+		return cmp.Or(cmp.Compare(len(b.Started), len(a.Started)), cmp.Compare(b.upstreamCount(), a.upstreamCount()))
+	})
+	explained := map[uint64]bool{}
+	changed := b.removed
+	b.removed = false
+	for _, r := range order {
+		unexplained := 0
+		for _, upstream := range r.Started {
+			if !explained[upstream] {
+				unexplained++
+			}
+		}
+		was := r.Quarantined
+		r.Quarantined = unexplained >= limits.Started || r.upstreamCount() >= limits.Any
+		changed = changed || r.Quarantined != was
+		if r.Quarantined {
+			for _, upstream := range r.Started {
+				explained[upstream] = true
+			}
+		}
+	}
+	if changed {
+		b.Version = position
+	}
+}
+
+// Expire removes the records of requests without recent evidence.
+func (b *Registry) Expire(now time.Time, position uint64, limits *Limits) {
+	before := len(b.Records)
+	b.Records = slices.DeleteFunc(b.Records, func(r Record) bool {
+		lifetime := limits.Suspected
+		if r.Quarantined {
+			lifetime = limits.Retention
+		}
+		expired := now.Sub(r.At) >= lifetime
+		b.removed = b.removed || expired && r.Quarantined
+		return expired
+	})
+	if len(b.Records) < before {
+		b.decide(position, limits)
+	}
+}
+
+// evictExcess evicts the oldest records above the limit, those of merely
+// suspected requests first.
+func (b *Registry) evictExcess(limits *Limits) {
+	for len(b.Records) > limits.Records {
+		at := max(0, slices.IndexFunc(b.Records, func(r Record) bool { return !r.Quarantined }))
+		b.removed = b.removed || b.Records[at].Quarantined
+		b.Records = slices.Delete(b.Records, at, at+1)
+	}
+}
+
+// Quarantined reports whether a request is quarantined.
+func (b *Registry) Quarantined(request Fingerprint) bool {
+	at := b.find(request)
+	return at >= 0 && b.Records[at].Quarantined
+}
+
+// Known reports whether there is evidence against a request.
+func (b *Registry) Known(request Fingerprint) bool { return b.find(request) >= 0 }
+
+// List returns the quarantined requests.
+func (b *Registry) List() *List {
+	var requests []Fingerprint
+	for i := range b.Records {
+		if b.Records[i].Quarantined {
+			requests = append(requests, b.Records[i].Request)
+		}
+	}
+	return NewList(b.Version, requests)
+}
+
+func (b *Registry) find(request Fingerprint) int {
+	return slices.IndexFunc(b.Records, func(r Record) bool { return r.Request == request })
+}
