--- a/control/applysettings.go
+++ b/control/applysettings.go
@@ -10,16 +10,16 @@
 
 // ApplyRequest is an operator's order to replace the settings tree.
 type ApplyRequest struct {
-	Base    uint64 `json:"base"` // revision that the operator built on
+	Base    uint64 `json:"base"` // revision that the operator's change is based on
 	OrderID string `json:"order_id"`
-	File    string `json:"file"` // only names the text in faults
+	File    string `json:"file"` // name of the text in error messages
 	Text    []byte `json:"text"`
 }
 
-// maxOrderID bounds what each voter remembers of an order.
+// maxOrderID limits the memory that each voter needs for an order.
 const maxOrderID = 128
 
-// applySettings is the handler of CommandApply; the answer is a state.Outcome.
+// applySettings is the handler of CommandApply; the response is a state.Outcome.
 func (n *Node) applySettings(ctx context.Context, body []byte) ([]byte, error) {
 	request, err := decode[ApplyRequest](body)
 	if err != nil {
@@ -39,8 +39,8 @@
 	return encode(outcome)
 }
 
-// checkApply refuses a faulty tree before it enters the log: a committed one
-// that no instance could install would stop the whole fleet.
+// checkApply rejects a faulty tree before it is appended to the log: a committed tree that
+// no instance can install would stop the whole fleet.
 func (n *Node) checkApply(request *ApplyRequest) error {
 	if request.OrderID == "" || len(request.OrderID) > maxOrderID {
 		return verdict.Refuse(verdict.ReasonBadRequest, 0, "an order needs an id of 1 to %d bytes", maxOrderID)
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// propose stamps a command, puts it into the log and waits for its outcome.
+// propose sets the time of a command, appends it to the log and waits for its outcome.
 func (n *Node) propose(ctx context.Context, command state.Command) (state.Outcome, error) {
 	done := make(chan proposalResult, 1)
 	err := n.asLeader(ctx, func(now time.Time, l *leader) {
@@ -65,7 +65,7 @@
 	return n.awaitProposal(ctx, done)
 }
 
-// awaitProposal waits for the fate of a proposal.
+// awaitProposal waits for the outcome of a proposal.
 func (n *Node) awaitProposal(ctx context.Context, done <-chan proposalResult) (state.Outcome, error) {
 	select {
 	case result := <-done:
@@ -78,7 +78,7 @@
 	}
 }
 
-// defaultOrderLifetime holds until the first settings are installed.
+// defaultOrderLifetime applies until the first settings are installed.
 const defaultOrderLifetime = 24 * time.Hour
 
 func (c *core) orderLifetime() time.Duration {
--- a/control/attached.go
+++ b/control/attached.go
@@ -10,11 +10,11 @@
 	"celeryport/membership"
 )
 
-// attachedInstance is what a voter tells the leader of an instance attached to it.
+// attachedInstance is a voter's statement to the leader about an instance attached to it.
 type attachedInstance struct {
-	Whole *membership.Instance `json:"w,omitempty"` // when the leader may not know it
-	Brief *briefInstance       `json:"b,omitempty"` // else
-	AgeMs int64                `json:"a,omitempty"` // since the instance stated it
+	Whole *membership.Instance `json:"w,omitempty"` // set if the leader may not know the instance
+	Brief *briefInstance       `json:"b,omitempty"` // set otherwise
+	AgeMs int64                `json:"a,omitempty"` // time since the instance's statement
 }
 
 // attachedWire encodes the statements of the attached instances.
@@ -32,8 +32,8 @@
 	return encoded
 }
 
-// acceptAttached takes in what a voter states of the instances attached to it, and
-// returns those that must be stated whole and those with a higher incarnation here.
+// acceptAttached applies a voter's statements about its attached instances. It returns
+// those that must be stated in full and those of which a higher incarnation is known here.
 func (l *leader) acceptAttached(now time.Time, attached []attachedInstance) (unknown []string, superseded map[string]uint64) {
 	for n := range attached {
 		i, found := l.statedInstance(&attached[n])
@@ -62,7 +62,8 @@
 	return a.Brief.of(known), true
 }
 
-// takeAttached notes what the leader made of the statements in a sync of this voter.
+// applyAttachedResult records the leader's response to the statements in a sync of this
+// voter.
 func (f *fanout) takeAttached(sent []attachedInstance, r *syncResponse) {
 	for _, name := range r.Unknown {
 		f.roster.Unknown(name)
@@ -85,15 +86,15 @@
 	}
 }
 
-// attachOrder lists the voters in the order in which this instance asks them, one that
-// failed last.
+// attachOrder lists the voters in this instance's order of preference, with the one that
+// failed last at the end.
 func (c *core) attachOrder(failed string) []string {
 	process := c.node.opts.Process
 	return attachment.Order(c.voterAddresses(), c.members.list(), process.Name, process.AvailabilityZone, failed)
 }
 
-// betterVoter returns a voter that this instance may rather be attached to; empty if it
-// is well where it is.
+// betterVoter returns a voter that this instance prefers to its current one; empty if
+// there is none.
 func (c *core) betterVoter(now time.Time) string {
 	if c.position.leader == "" {
 		return ""
@@ -101,10 +102,10 @@
 	return c.choice.Next(now, c.position.leader, c.attachOrder(""))
 }
 
-// reattach asks a voter that would suit better whether it hears a leader, and goes on
-// with it if it does. Asking first costs little: a change of the voter brings the
-// whole fleet anew, and while there is no leader at all every instance would go round
-// the voters and get it from each of them.
+// reattach probes a preferred voter and switches to it if it is in contact with a leader.
+// The probe is cheap, whereas a switch transfers the whole fleet again: while there is no
+// leader at all, every instance would cycle through the voters and fetch the fleet from
+// each of them.
 func (n *Node) reattach(ctx context.Context) error {
 	var target string
 	if err := n.do(ctx, func(now time.Time) { target = n.core.betterVoter(now) }); err != nil || target == "" {
@@ -119,8 +120,8 @@
 	return n.do(ctx, func(now time.Time) { n.core.takeProbe(now, target, response) })
 }
 
-// takeProbe goes on with the voter that was asked, if it hears a leader, or at least has
-// settings where this instance has none.
+// applyProbe switches to the probed voter if it is in contact with a leader, or at least
+// has settings while this instance has none.
 func (c *core) takeProbe(now time.Time, target string, r *syncResponse) {
 	helps := !r.Detached || c.installed.tree == nil && r.Revision > 0
 	if r.Redirect || !helps {
--- a/control/attached_test.go
+++ b/control/attached_test.go
@@ -15,8 +15,8 @@
 	"celeryport/upstream"
 )
 
-// newAttachingFleet starts voters, one in each of as many availability zones, and
-// instances that sync with any of them.
+// newAttachingFleet starts voters, each in an availability zone of its own, and instances
+// that sync with any of them.
 func newAttachingFleet(t *testing.T, voters, others int) *fleet {
 	t.Helper()
 	f := &fleet{t: t, timing: testTiming(), fanOut: true}
@@ -31,9 +31,9 @@
 func (n *testNode) attachedTo() string { return n.node.View().Leader }
 
 func TestInstancesAreAnsweredByTheVoterOfTheirZone(t *testing.T) {
-	// Hundreds of instances start together. If all of them sync with the leader, its
-	// small processor is taken by their syncs, its heartbeats are late, and the others
-	// elect a new leader, which meets the same. Operators' changes are then acknowledged
+	// Hundreds of instances start together. If all of them sync with the leader, the syncs
+	// saturate its small processor, its heartbeats are late, and the other voters elect a
+	// new leader, which is overloaded in turn. Operators' changes are then acknowledged
 	// late or never.
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 9)
@@ -72,9 +72,9 @@
 }
 
 func TestVoterThatIsCutOffIsLeft(t *testing.T) {
-	// A voter is cut off from the other voters, but the instances attached to it reach it
-	// and the others. It goes on answering them. If they stayed with it, their callers
-	// would be served by old settings for as long as the cut lasts.
+	// A voter is partitioned from the other voters, but not from the instances attached to
+	// it, and continues to answer them. If they stayed attached to it, their callers would
+	// be served by outdated settings for as long as the partition lasts.
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 3)
 	first := f.apply(0, "a", testTree(1))
@@ -95,8 +95,8 @@
 }
 
 func TestLossOfAVoterIsMadeGoodByTheOthers(t *testing.T) {
-	// The voter that answers an instance dies. The instance must hear of changes, and
-	// the others of its end, through another voter.
+	// The voter that an instance is attached to dies. The instance must receive changes,
+	// and the others must learn that the voter is gone, through another voter.
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 3)
 	first := f.apply(0, "a", testTree(1))
@@ -120,9 +120,9 @@
 }
 
 func TestLeavingUpstreamReachesAttachedInstances(t *testing.T) {
-	// An upstream tells one voter that it leaves, and counts on getting nothing new soon
-	// after it is acknowledged. Instances that are attached to other voters must hear it
-	// at once, not when their next sync is due.
+	// An upstream notifies one voter that it is leaving, and relies on getting no new
+	// requests soon after the acknowledgement. Instances attached to other voters must be
+	// notified at once, not when their next sync is due.
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 6)
 	first := f.apply(0, "a", testTree(1))
@@ -172,9 +172,9 @@
 }
 
 func TestInstancesThatJoinWakeNoOther(t *testing.T) {
-	// A fleet of 300 instances starts within a moment, and each is attached to one of a
-	// few voters. If every one that joins wakes all that wait for news, a voter sends a
-	// hundred answers for each, and is busy for seconds while it should elect a leader.
+	// A fleet of 300 instances starts at once, and each is attached to one of a few
+	// voters. If every instance that joins wakes all held syncs, a voter sends a hundred
+	// responses for each, and is busy for seconds while it should elect a leader.
 	now := time.Unix(1_700_000_000, 0)
 	c := newTestCore(t)
 	c.group = &group{core: c, machine: state.New()}
@@ -206,9 +206,9 @@
 }
 
 func TestInstancesWithoutSettingsWaitAtTheirVoter(t *testing.T) {
-	// The voters of a fleet that starts have no settings and no leader yet. If each
-	// instance asks all of them again and again meanwhile, they have no time to elect a
-	// leader, and nobody serves for seconds.
+	// The voters of a starting fleet have no settings and no leader yet. If each instance
+	// repeatedly asked all of them in the meantime, they would have no time to elect a
+	// leader, and no instance could serve for seconds.
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 0)
 	for _, m := range f.members[1:] {
@@ -236,9 +236,9 @@
 }
 
 func TestUpstreamsAreHeardByInstancesOfTheirZone(t *testing.T) {
-	// Hundreds of upstreams announce themselves every second. If a few voters hear all of
-	// them, their small processors have no time for anything else, and upstreams that
-	// leave are not acknowledged.
+	// Hundreds of upstreams announce themselves every second. If a few voters receive the
+	// announcements of all of them, their small processors have no time for anything else,
+	// and leaving upstreams are not acknowledged.
 	instances := []membership.Instance{
 		{Name: "voter", Voter: true, ControlAddress: "10.0.0.9:1", AvailabilityZone: "a"},
 		{Name: "draining", State: membership.Draining, Address: "x", ControlAddress: "10.0.0.8:1", AvailabilityZone: "a"},
@@ -271,9 +271,9 @@
 }
 
 func TestLeavingUpstreamIsAcknowledgedWhenTheLeaderHasIt(t *testing.T) {
-	// An upstream tells an attached instance that it leaves. The voter of that instance is
-	// cut off from the others. If the word were acknowledged by then, the others would
-	// send calls to an engine that ends.
+	// An upstream notifies an attached instance that it is leaving while the voter of that
+	// instance is partitioned from the others. If the message were acknowledged at that
+	// point, the others would send requests to an engine that stops.
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 3)
 	first := f.apply(0, "a", testTree(1))
@@ -307,8 +307,9 @@
 }
 
 func TestInstancesSurviveTheWire(t *testing.T) {
-	// A list that goes to many is packed. One that can't be read must be refused whole: an
-	// instance that took a part of it for all would hand out no others.
+	// A list that is sent to many instances is compressed. A list that cannot be decoded
+	// must be rejected as a whole: an instance that took a part of it for the whole would
+	// give out no other addresses.
 	list := []membership.Instance{{Name: "a", Incarnation: 3, Address: "10.0.0.1:1"}, {Name: "b", State: membership.Draining}}
 	packed, err := packMembers(list)
 	if err != nil {
@@ -334,9 +335,9 @@
 }
 
 func TestUrgentNewsWakesAttachedInstances(t *testing.T) {
-	// An engine leaves, or settings change, while an instance's sync is held. If that waited
-	// for the next answer, the instance would go on sending calls to the engine, or serving
-	// by old settings, for half a second with each voter on the way.
+	// An engine leaves, or settings change, while an instance's sync is held. If the
+	// response waited until it was due, the instance would continue to send requests to
+	// the engine, or to serve by the old settings, for half a second per voter on the way.
 	now := time.Unix(1_700_000_000, 0)
 	c := newTestCore(t)
 	c.group = &group{core: c, machine: state.New()}
--- a/control/claimdriver.go
+++ b/control/claimdriver.go
@@ -7,9 +7,9 @@
 	"celeryport/claim"
 )
 
-// claimDriver runs one claimant: it carries its messages and hands in the
-// answers. One goroutine at a time uses it, first the one that claims and later
-// the one that settles.
+// claimDriver runs one claimant: it sends its messages and feeds the answers back. Only
+// one goroutine at a time uses it, first the one that claims and later the one that
+// settles.
 type claimDriver struct {
 	node      *Node
 	claimant  *claim.Claimant
@@ -17,12 +17,12 @@
 	answers   chan claim.Message
 }
 
-// run claims until the voters have decided or ctx ends.
+// run claims until the voters have decided or ctx is done.
 func (d *claimDriver) run(ctx context.Context) ClaimResult {
 	d.send(ctx, d.claimant.Start(d.node.clock.Now()))
 	for d.claimant.Result().State == claim.Asking {
 		if !d.advance(ctx) {
-			// The caller has left: what was granted is freed in the background.
+			// The caller has gone: granted votes are released in the background.
 			go d.drive(context.WithoutCancel(ctx))
 			return ClaimResult{State: NoMajority}
 		}
@@ -30,12 +30,12 @@
 	if d.claimant.MaySend(d.node.clock.Now()) {
 		return ClaimResult{State: Won}
 	}
-	go d.drive(context.WithoutCancel(ctx)) // releases what was granted
+	go d.drive(context.WithoutCancel(ctx)) // releases the granted votes
 	return resultOf(d.claimant.Result())
 }
 
-// advance waits for an answer or for the next tick. It returns false when ctx
-// has ended and the claimant has no more to say about it.
+// advance waits for an answer or for the next tick. It returns false if ctx is done and
+// the claimant is still undecided.
 func (d *claimDriver) advance(ctx context.Context) bool {
 	d.followVoters(ctx)
 	timer := time.NewTimer(d.claimant.NextTick().Sub(d.node.clock.Now()))
@@ -52,8 +52,8 @@
 	return true
 }
 
-// followVoters goes on with the new voters when they have changed; the old ones
-// no longer vote.
+// followVoters reconfigures the claimant when the voters have changed, because the old
+// ones no longer vote.
 func (d *claimDriver) followVoters(ctx context.Context) {
 	group := d.node.claimGroup.Load()
 	if group == nil || group.epoch.Number <= d.claimant.Epoch() {
@@ -62,7 +62,7 @@
 	d.send(ctx, d.claimant.Reconfigure(d.node.clock.Now(), group.epoch))
 }
 
-// settle tells the voters the outcome.
+// settle sends the outcome to the voters.
 func (d *claimDriver) settle(o claim.Outcome) {
 	ctx := context.Background()
 	d.followVoters(ctx)
@@ -70,7 +70,7 @@
 	d.drive(ctx)
 }
 
-// drive goes on until the claimant has nothing left to do.
+// drive advances the claimant until it has nothing left to do.
 func (d *claimDriver) drive(ctx context.Context) {
 	for !d.claimant.NextTick().IsZero() {
 		if !d.advance(ctx) {
@@ -84,8 +84,8 @@
 	}
 }
 
-// send carries each message by a goroutine of its own, so that one silent voter
-// delays none of the others.
+// send sends each message in a goroutine of its own, so that an unresponsive voter delays
+// none of the others.
 func (d *claimDriver) send(ctx context.Context, messages []claim.Message) {
 	for _, m := range messages {
 		go d.carry(ctx, m)
@@ -105,7 +105,7 @@
 	}
 }
 
-// resultOf translates the state of the claimant.
+// resultOf converts the claimant's result.
 func resultOf(r claim.Result) ClaimResult {
 	result := ClaimResult{Outcome: r.Outcome}
 	switch r.State {
--- a/control/claims.go
+++ b/control/claims.go
@@ -17,25 +17,25 @@
 const (
 	claimResend   = 250 * time.Millisecond
 	claimBackoff  = 20 * time.Millisecond
-	claimDeadline = 2 * time.Second // when the caller's context has none
-	claimKept     = time.Hour       // how long a claim that was won waits for its outcome
+	claimDeadline = 2 * time.Second // used if the caller's context has no deadline
+	claimKept     = time.Hour       // how long a won claim is kept while its outcome is unknown
 )
 
-// claimGroup is the set of voters on claims and where to reach them.
+// claimGroup is the set of voters on claims and their addresses.
 type claimGroup struct {
 	epoch     claim.Epoch
 	addresses map[consensus.ID]string
 }
 
-// wonClaims remembers the claims that were won until their outcome is known.
+// wonClaims holds the claims that were won until their outcome is known.
 type wonClaims struct {
 	mu    sync.Mutex
 	won   map[claim.Holder]*claimDriver
 	swept time.Time
 }
 
-// put remembers a claim, and forgets those whose outcome never came: their key
-// stays claimed at the voters, which is the safe end.
+// put adds a claim and removes those whose outcome was never reported: their keys remain
+// claimed at the voters, which is the safe result.
 func (w *wonClaims) put(now time.Time, h claim.Holder, d *claimDriver) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -62,7 +62,7 @@
 	return d
 }
 
-// Claim implements Plane. The result Won holds until the deadline of ctx.
+// Claim implements Plane. A result of Won is valid until the deadline of ctx.
 func (n *Node) Claim(ctx context.Context, key claim.Key, holder claim.Holder) ClaimResult {
 	group := n.claimGroup.Load()
 	if group == nil || group.epoch.Number == 0 {
@@ -94,16 +94,16 @@
 	return now.Add(claimDeadline)
 }
 
-// Settle implements Plane. It goes on in the background until the voters have
-// confirmed or the attempts are used up.
+// Settle implements Plane. It continues in the background until the voters have confirmed
+// or the attempts are exhausted.
 func (n *Node) Settle(_ claim.Key, holder claim.Holder, outcome claim.Outcome) {
 	if d := n.wonClaims.take(holder); d != nil {
 		go d.settle(outcome)
 	}
 }
 
-// carryClaim brings a message to a voter, this instance's own included, and
-// returns the answers.
+// sendClaim sends a message to a voter, which may be this instance's own, and returns the
+// answers.
 func (n *Node) carryClaim(ctx context.Context, m claim.Message) ([]claim.Message, error) {
 	if n.claimVoter != nil && n.core.group.id == m.To {
 		return n.claimVoter.ask(ctx, m)
--- a/control/claims_test.go
+++ b/control/claims_test.go
@@ -25,7 +25,7 @@
 	return claim.Holder{Instance: n.process.Name, Incarnation: 1, Request: request}
 }
 
-// claimable starts a fleet whose instances know the voters.
+// claimable starts a fleet whose instances know the voters on claims.
 func claimable(t *testing.T, voters, others int) *fleet {
 	t.Helper()
 	f := newFleet(t, voters, others)
@@ -41,9 +41,9 @@
 }
 
 func TestOneHolderWinsAKey(t *testing.T) {
-	// A caller whose fabric hold got no answer sends it again through another
-	// instance while the first one is still at work. If both sent it on, two
-	// bolts would be cut.
+	// A caller whose fabric hold got no answer sends it again through another instance
+	// while the first one is still processing it. If both forwarded it, two bolts would be
+	// cut.
 	t.Parallel()
 	f := claimable(t, 3, 2)
 	for key := range 10 {
@@ -77,8 +77,8 @@
 }
 
 func TestReleasedKeyIsFree(t *testing.T) {
-	// An upstream refused a call before it ran. The caller's next attempt with the
-	// same key must not be told that it may have run.
+	// An upstream rejected a request before it ran. The caller's next attempt with the
+	// same key must not be answered with the verdict that the first one may have run.
 	t.Parallel()
 	f := claimable(t, 3, 1)
 	if first := claimAt(t, f.members[3], "k", "r"); first.State != Won {
@@ -89,8 +89,8 @@
 }
 
 func TestNoMajorityNoClaim(t *testing.T) {
-	// Two of three voters are gone. A claim that was won on one vote could be won
-	// a second time by whoever reaches the other two.
+	// Two of three voters are gone. A claim won with a single vote could be won a second
+	// time by an instance that reaches the other two voters.
 	t.Parallel()
 	f := claimable(t, 3, 1)
 	f.crash(f.members[0])
@@ -101,10 +101,10 @@
 }
 
 func TestClaimsOutliveVoters(t *testing.T) {
-	// A key is claimed at two of three voters, for the third can't be reached. One
-	// of the two dies and is replaced, then the other dies too. The third and the
-	// replacement are a majority that never heard of the claim: if the replacement
-	// came in with empty hands, the key would be won again.
+	// A key is claimed at two of three voters, because the third cannot be reached. One of
+	// the two dies and is replaced, then the other dies too. The third voter and the
+	// replacement form a majority that never received the claim: if the replacement did
+	// not copy the votes, the key could be won again.
 	t.Parallel()
 	f := claimable(t, 3, 0)
 	f.network.cut(f.members[1].process.ControlListen)
--- a/control/claimstate.go
+++ b/control/claimstate.go
@@ -5,14 +5,14 @@
 	"celeryport/event"
 )
 
-// takeLifetime brings the lifetime of keys in line with the settings in force.
+// updateLifetime applies the lifetime of keys from the settings in force.
 func (v *claimVoter) takeLifetime() {
 	if tree := v.node.View().Tree; tree != nil {
 		v.voter.SetLifetime(tree.Fleet.KeyLifetime)
 	}
 }
 
-// noteState logs when the voter begins or ceases to vote.
+// logState logs when the voter starts or stops voting.
 func (v *claimVoter) noteState() {
 	status := v.voter.Status()
 	if status.Full && !v.full {
--- a/control/claimvoter.go
+++ b/control/claimvoter.go
@@ -19,24 +19,23 @@
 	claimsFolder  = "claims"
 	claimQueue    = 1024
 	claimTick     = time.Second
-	compactClaims = 16 << 20 // bytes of the vote log from which on it is rewritten
+	compactClaims = 16 << 20 // size of the vote log in bytes from which it is rewritten
 )
 
-// claimVoter keeps the votes of this instance. One goroutine owns it; what
-// arrives while a sync is under way shares the next one, so that the cost of a
-// sync is divided by the load.
+// claimVoter stores the votes of this instance. A single goroutine owns it. Requests that
+// arrive during a sync share the next one, which divides the cost of a sync between them.
 type claimVoter struct {
 	node     *Node
 	voter    *claim.Voter
 	records  *wal.Records
 	requests chan claimRequest
 	epochs   chan claim.Epoch
-	rewrite  int64       // size from which on the log is rewritten
+	rewrite  int64       // size from which the log is rewritten
 	votes    atomic.Bool // whether it votes, as last logged
 	full     bool        // whether it is full, as last logged
 }
 
-// claimRequest is one message and where its answers go.
+// claimRequest is a message and the channel for its answers.
 type claimRequest struct {
 	message claim.Message
 	reply   chan<- claimReply
@@ -47,8 +46,8 @@
 	err      error
 }
 
-// openClaims opens the votes of a voter. The lifetime of keys is that of the
-// settings at the start of the process; a change counts from the next start on.
+// openClaims opens the stored votes of a voter. The lifetime of keys is taken from the
+// settings at the start of the process.
 func openClaims(n *Node, folder dataFolder, id consensus.ID, lifetime time.Duration) (*claimVoter, error) {
 	records, raw, err := wal.OpenRecords(filepath.Join(folder.path, claimsFolder), folder.fs, wal.Options{Logger: n.log})
 	if err != nil {
@@ -74,7 +73,7 @@
 	}, nil
 }
 
-// run owns the voter until ctx ends or a sync fails.
+// run processes requests until ctx is done or a sync fails.
 func (v *claimVoter) run(ctx context.Context) error {
 	ticker := time.NewTicker(claimTick)
 	defer ticker.Stop()
@@ -105,8 +104,8 @@
 	return batch
 }
 
-// process steps a batch, syncs what it changed in one write and only then
-// answers: a vote that was answered and lost in a crash could be given again.
+// process handles a batch, syncs all resulting records in one write and only then answers:
+// a vote that was answered but lost in a crash could be given again to another holder.
 func (v *claimVoter) process(ctx context.Context, batch []claimRequest) error {
 	now := v.node.clock.Now()
 	own := v.voter.Ready()
@@ -183,7 +182,7 @@
 	return encoded, nil
 }
 
-// send carries a message to another voter and brings its answer back.
+// send sends a message to another voter and enqueues the answers.
 func (v *claimVoter) send(ctx context.Context, m claim.Message) {
 	answers, err := v.node.carryClaim(ctx, m)
 	if err != nil {
@@ -200,8 +199,8 @@
 
 var errVoterFailed = verdict.Refuse(verdict.ReasonStorageFailed, 0, "this voter can't keep votes any more")
 
-// fail refuses everything from now on. A vote that could not be synced may not
-// be given, and none that was given may be forgotten.
+// fail rejects all further requests. A vote that could not be synced must not be given,
+// and none that was given may be lost.
 func (v *claimVoter) fail(ctx context.Context, cause error) error {
 	eventStorageFailed.Log(v.node.log, event.Fields{"error": cause, "folder": claimsFolder})
 	for {
@@ -215,7 +214,7 @@
 	}
 }
 
-// ask hands a message to the voter and waits for its answers.
+// ask passes a message to the voter and waits for its answers.
 func (v *claimVoter) ask(ctx context.Context, m claim.Message) ([]claim.Message, error) {
 	reply := make(chan claimReply, 1)
 	select {
@@ -231,8 +230,8 @@
 	}
 }
 
-// enter tells the voter of an epoch. The epochs that don't fit are told again
-// after the next restart or change; meanwhile the voter abstains.
+// enter passes an epoch to the voter. An epoch dropped because the queue is full is passed
+// again after the next restart or change; until then the voter abstains.
 func (v *claimVoter) enter(e claim.Epoch) {
 	select {
 	case v.epochs <- e:
--- a/control/compaction.go
+++ b/control/compaction.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// compactBytes is the size of the log from which on it is compacted before
-// Timing.Compact entries: all of it is in memory too, and each change of the
-// settings holds the whole tree.
+// compactBytes is the size of the log from which it is compacted even before
+// Timing.Compact entries: the log is also held in memory, and each change of the settings
+// contains the whole tree.
 const compactBytes = 8 << 20
 
-// compactIfDue replaces old entries by a snapshot, so that the log stays small
-// and a voter that missed hundreds of changes catches up in one transfer.
+// compactIfDue replaces old entries by a snapshot, so that the log stays small and a voter
+// that missed hundreds of changes catches up in one transfer.
 func (g *group) compactIfDue(now time.Time) {
 	applied := g.machine.Applied()
 	large := g.log.Size() > compactBytes && applied > g.compacted
--- a/control/compaction_test.go
+++ b/control/compaction_test.go
@@ -8,7 +8,7 @@
 )
 
 // Operators apply large trees. Each is in the log and in memory, so a log that is
-// compacted after a number of changes only would outgrow the instance.
+// compacted only after a number of changes would exhaust the instance's memory.
 func TestLogOfLargeChangesIsCompacted(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 1, 0)
--- a/control/confirmation.go
+++ b/control/confirmation.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// confirmGrace is how long after a change an instance still gets leases while it
-// has not confirmed it.
+// confirmGrace is how long after a change an instance that has not confirmed it still gets
+// leases.
 const confirmGrace = time.Second
 
-// confirmations say which instances may get a lease. An instance that can't
-// install a revision, for want of disk or because its version doesn't know a
-// key, goes on syncing. If it went on getting leases, the revision could never
-// count as in force. But with changes that follow each other fast every instance
-// is always a little behind, and must not lose its lease for that.
+// confirmations decide which instances may get a lease. An instance that cannot install a
+// revision, because its disk is full or its version does not know a key, continues to
+// sync. If it continued to get leases, the revision could never count as in force.
+// However, when changes follow each other quickly, every instance is always slightly
+// behind and must not lose its lease for that.
 type confirmations struct {
 	current    uint64
-	superseded map[uint64]time.Time // when a revision ceased to be the accepted one
+	superseded map[uint64]time.Time // time at which each revision was superseded
 }
 
-// note takes in the accepted revision.
+// setCurrent records the accepted revision.
 func (c *confirmations) note(now time.Time, accepted uint64) {
 	if accepted == c.current {
 		return
@@ -33,7 +33,7 @@
 	c.current = accepted
 }
 
-// lately reports whether the revision is the accepted one, or was until a moment
+// isRecent reports whether the revision is the accepted one, or was until confirmGrace
 // ago.
 func (c *confirmations) lately(now time.Time, revision uint64) bool {
 	if revision >= c.current {
--- a/control/consensuscall.go
+++ b/control/consensuscall.go
@@ -10,8 +10,8 @@
 	"celeryport/rpc"
 )
 
-// Consensus implements rpc.Control. The answer says only that the messages were
-// queued: consensus answers by messages of its own.
+// Consensus implements rpc.Control. The response only confirms that the messages were
+// queued: consensus responds with messages of its own.
 func (s *service) Consensus(_ context.Context, in *rpc.ConsensusRequest) (*rpc.ConsensusResponse, error) {
 	messages := make([]consensus.Message, 0, len(in.Messages))
 	for _, data := range in.Messages {
@@ -25,7 +25,7 @@
 	return &rpc.ConsensusResponse{}, nil
 }
 
-// receive gives messages to consensus, on an instance that takes part in it.
+// receive passes messages to consensus if this instance takes part in it.
 func (c *core) receive(now time.Time, address string, messages []consensus.Message) {
 	if c.group == nil || c.group.node == nil {
 		return
--- a/control/control.go
+++ b/control/control.go
@@ -1,6 +1,6 @@
-// Package control drives the replicated control state of an instance: it owns
-// the one goroutine that runs consensus, membership, settings revisions, orders
-// and claims, and publishes immutable views for the traffic goroutines.
+// Package control implements the replicated control state of an instance. One goroutine
+// runs consensus, membership, settings revisions, engine orders and claims, and publishes
+// immutable views for the goroutines that serve traffic.
 package control
 
 import (
@@ -15,61 +15,64 @@
 	"celeryport/upstream"
 )
 
-// View is what the traffic side sees of the control state. It is immutable and
-// replaced whole.
+// View is a snapshot of the control state for the goroutines that serve traffic. It is
+// immutable; a change publishes a new View.
 type View struct {
-	Incarnation uint64         // of this instance; settled by the time LeaseUntil is first set
-	Tree        *settings.Tree // installed revision, nil before the first
-	LeaseUntil  time.Time      // this instance may admit until then, on its own monotonic clock
+	Incarnation uint64         // incarnation of this instance; final once LeaseUntil is set for the first time
+	Tree        *settings.Tree // installed revision, nil before the first one
+	LeaseUntil  time.Time      // end of this instance's admission lease, on its own monotonic clock
 	Instances   []membership.Instance
 	Upstreams   *upstream.Snapshot
 	Grants      []quota.Grant
 	Leader      string
-	HasQuorum   bool             // a majority of the voters was reached lately
-	Quarantine  *quarantine.List // requests that no upstream may get
+	HasQuorum   bool             // whether a majority of the voters was reached recently
+	Quarantine  *quarantine.List // requests that must not be sent to any upstream
 }
 
-// Plane is the interface through which the traffic side uses control.
+// Plane is the interface of control for the goroutines that serve traffic.
 type Plane interface {
-	// View returns the present view without blocking.
+	// View returns the current view without blocking.
 	View() *View
-	// Announce hands in an announcement that an upstream made to this instance.
+	// Announce submits an announcement that an upstream made to this instance.
 	Announce(a upstream.Announcement)
-	// ReportEvidence hands in what this instance saw of a request whose upstream ended.
+	// ReportEvidence submits what this instance observed of a request whose upstream
+	// crashed.
 	ReportEvidence(e quarantine.Evidence)
-	// Claim asks the voters for the right to send a request that may not be
-	// repeated. Only Won allows to send.
+	// Claim asks the voters for the right to send a request that must not be repeated. The
+	// request may be sent only if the result is Won.
 	Claim(ctx context.Context, key claim.Key, holder claim.Holder) ClaimResult
 	// Settle records the outcome of a claim that was won. A Released outcome
 	// needs a proof that the request did not run.
 	Settle(key claim.Key, holder claim.Holder, outcome claim.Outcome)
-	// Drain stops this instance from being handed out and tells the others.
+	// Drain removes this instance from the addresses given to callers and notifies the
+	// other instances.
 	Drain(ctx context.Context) error
 }
 
-// ClaimState says what came of a claim.
+// ClaimState is the result of a claim.
 type ClaimState uint8
 
 const (
-	// NoMajority means that too few voters answered in time. Nothing may be sent.
+	// NoMajority means that too few voters answered in time. The request must not be sent.
 	NoMajority ClaimState = iota
-	// Won means that this holder, and no other, may send.
+	// Won means that this holder, and no other, may send the request.
 	Won
-	// Lost means that another holder has the key; Outcome says what is known of it.
+	// Lost means that another holder has the key; Outcome is what is known about its
+	// request.
 	Lost
-	// Split means that no holder has a majority now; asking again may succeed.
+	// Split means that no holder has a majority at present; a retry may succeed.
 	Split
 	// Expired means that the key is older than its lifetime.
 	Expired
 )
 
-// ClaimResult answers Claim.
+// ClaimResult is the result of Plane.Claim.
 type ClaimResult struct {
 	State   ClaimState
-	Outcome claim.Outcome // on Lost
+	Outcome claim.Outcome // set if State is Lost
 }
 
-// Node implements both.
+// Node implements both interfaces.
 var (
 	_ Plane      = (*Node)(nil)
 	_ Operations = (*Node)(nil)
--- a/control/core.go
+++ b/control/core.go
@@ -17,48 +17,48 @@
 	"celeryport/upstream"
 )
 
-// core is the control state of an instance. Only the control goroutine touches
-// it.
+// core is the control state of an instance. Only the control goroutine uses it.
 type core struct {
 	node           *Node
 	log            logrus.FieldLogger
 	timing         Timing
 	self           membership.Instance
-	inTouch        bool      // the last sync worked
-	syncedAt       time.Time // when a sync worked last
-	accepted       bool      // a leader took a statement of this incarnation
-	defunct        bool      // another process took over the name
+	inTouch        bool      // the last sync succeeded
+	syncedAt       time.Time // time of the last successful sync
+	accepted       bool      // a leader has accepted a statement of this incarnation
+	defunct        bool      // another process has taken over the name
 	installed      installed
-	failedRevision uint64 // that could not be installed
+	failedRevision uint64 // last revision that could not be installed
 	lease          lease
 	members        memberList
-	heard          *upstream.Registry // heard directly, to be told to the leader
-	known          *upstream.Registry // everything that is known
-	out            outbox             // what was heard, for the leader
-	received       *relay.Receiver    // from the leader
+	heard          *upstream.Registry // announcements received directly, to be sent to the leader
+	known          *upstream.Registry // all known announcements
+	out            outbox             // batches of heard for the leader
+	received       *relay.Receiver    // batches from the leader
 	grants         []quota.Grant
-	initialTree    []byte // for a group that never accepted one
+	initialTree    []byte // initial settings tree, for a group that has never accepted one
 	demand         []quota.Demand
 	position       syncPosition
 	voters         []consensus.Member
-	seeds          []settings.Member // whom the process settings name; they may change
+	seeds          []settings.Member // voters named by the process settings, which may change
 	group          *group            // nil on an instance without a log
 	leader         *leader           // nil unless this voter leads
 	fanout         *fanout           // nil on an instance without a log
-	choice         attachment.Choice // of the voter that an attached instance asks
+	choice         attachment.Choice // selects the voter that an attached instance syncs with
 	views          viewState
-	quarantined    *quarantine.List // requests that no upstream may get
-	fleetAnswer    fleetAnswer      // given out last to those that no leader has taken in
+	quarantined    *quarantine.List // requests that must not be sent to any upstream
+	fleetAnswer    fleetAnswer      // last one given to instances that no leader has accepted
 }
 
-// syncPosition is what this instance and a leader know of each other.
+// syncPosition is what this instance and a leader have acknowledged of each other's
+// updates.
 type syncPosition struct {
 	epoch     string
-	leader    string // control address; of an attached instance, its voter
-	stated    bool   // the leader has heard this incarnation whole
+	leader    string // control address; on an attached instance that of its voter
+	stated    bool   // the leader knows this incarnation in full
 	members   uint64
-	grants    uint64 // round of the grants that are acted on
-	heardUpTo uint64 // last batch of this instance that the leader has
+	grants    uint64 // allocation round of the grants in use
+	heardUpTo uint64 // last batch of this instance that the leader has applied
 }
 
 func newCore(n *Node) (*core, error) {
@@ -102,7 +102,7 @@
 	return c, c.recall(n.clock.Now())
 }
 
-// step does what is due and returns when to come back.
+// step performs all due work and returns when to call it again.
 func (c *core) step(now time.Time) (time.Time, error) {
 	next := now.Add(maxWait)
 	if c.group != nil {
@@ -123,7 +123,7 @@
 	return earlier(next, c.publishIfDue(now)), nil
 }
 
-// noteLease logs when the lease was gained or lost.
+// logLeaseChange logs when the lease is gained or lost.
 func (c *core) noteLease(now time.Time) {
 	switch c.lease.change(now) {
 	case leaseGained:
@@ -134,7 +134,7 @@
 	}
 }
 
-// hear takes an announcement that an upstream made to this instance.
+// hear processes an announcement that an upstream made to this instance.
 func (c *core) hear(now time.Time, a upstream.Announcement) {
 	news := c.heard.Hear(now, a)
 	c.logUpstream(a)
@@ -148,8 +148,8 @@
 	}
 }
 
-// logUpstream tells when an upstream appears or begins to leave. It is called
-// before the announcement is taken in.
+// logUpstream logs when an upstream appears or begins to leave. It must be called before
+// the announcement is added to the registry.
 func (c *core) logUpstream(a upstream.Announcement) {
 	before, known := c.known.Find(a.Name)
 	switch {
@@ -167,8 +167,8 @@
 	}
 }
 
-// noteUpstream has the next view contain the upstream's news: at once when it
-// leaves, and within a moment otherwise.
+// markUpstreamChanged schedules a new view with the upstream's change: at once if it is
+// leaving, otherwise within viewInterval.
 func (c *core) noteUpstream(a upstream.Announcement) {
 	if a.Leaving {
 		c.views.dirty()
@@ -180,7 +180,7 @@
 	c.views.stale()
 }
 
-// drain takes this instance out of the addresses that callers get.
+// drain removes this instance from the addresses given to callers.
 func (c *core) drain(now time.Time) {
 	c.self.State = membership.Draining
 	c.views.dirty()
--- a/control/datafolder.go
+++ b/control/datafolder.go
@@ -17,14 +17,14 @@
 	incarnationFile = "incarnation"
 )
 
-// dataFolder keeps the files of an instance; each write is synced before it
-// returns. A folder with an empty path keeps nothing.
+// dataFolder stores the files of an instance; each write is synced before it returns. A
+// folder with an empty path stores nothing.
 type dataFolder struct {
 	path string
 	fs   wal.FS
 }
 
-// write replaces a file whole.
+// write replaces the whole file.
 func (d dataFolder) write(name string, data []byte) error {
 	if d.path == "" {
 		return nil
@@ -32,7 +32,7 @@
 	return wal.WriteChecked(d.fs, filepath.Join(d.path, name), data)
 }
 
-// read returns a file's content; the error is fs.ErrNotExist if there is none.
+// read returns the content of a file; the error is fs.ErrNotExist if there is none.
 func (d dataFolder) read(name string) ([]byte, error) {
 	return wal.ReadChecked(d.fs, filepath.Join(d.path, name))
 }
--- a/control/delivery.go
+++ b/control/delivery.go
@@ -11,25 +11,26 @@
 	"celeryport/verdict"
 )
 
-// delivery follows what a voter must have a leader take in before those who wait for it
-// are told so. Only the control goroutine touches it.
+// delivery tracks which updates of this voter the leader has acknowledged, so that a
+// caller can be answered only after the leader has its update. Only the control goroutine
+// uses it.
 //
-// All that wait share the voter's own syncs. When engines are replaced while there is no
-// leader, many wait at once: if each of them looked for a leader by itself, again and
-// again, the voters would have no time to elect one.
+// All callers share the voter's own syncs. When engines are replaced while there is no
+// leader, many callers wait at once: if each of them searched for a leader on its own, the
+// load on the voters would keep them from electing one.
 type delivery struct {
-	noted   uint64 // how much was noted that a leader must take in
-	taken   uint64 // of that, how much a leader has
+	noted   uint64 // last mark issued; every update up to it must reach a leader
+	taken   uint64 // highest mark that a leader has acknowledged
 	waiting map[chan struct{}]uint64
 }
 
-// note returns the mark of what is known by now.
+// nextMark issues a mark that covers every update known at the time of the call.
 func (d *delivery) note() uint64 {
 	d.noted++
 	return d.noted
 }
 
-// await returns a channel that is closed when a leader has all up to a mark.
+// await returns a channel that is closed when a leader has acknowledged the mark.
 func (d *delivery) await(mark uint64) chan struct{} {
 	done := make(chan struct{})
 	if mark <= d.taken {
@@ -43,7 +44,7 @@
 	return done
 }
 
-// takenUpTo notes that a leader has all up to a mark.
+// acknowledge records that a leader has every update up to the mark.
 func (d *delivery) takenUpTo(mark uint64) {
 	d.taken = max(d.taken, mark)
 	for done, wanted := range d.waiting {
@@ -54,13 +55,14 @@
 	}
 }
 
-// errUndelivered ends the wait for a leader that did not come in time.
+// errUndelivered is returned when no leader acknowledged the update before the deadline.
 var errUndelivered = verdict.Refuse(verdict.ReasonNoQuorum, time.Second, "no leader took it in in time")
 
-// passOn has the leader take in what this instance knows by now, before who waits for it
-// is told so: an upstream that leaves counts on getting nothing new from then on. An answer alone
-// is no proof: a voter that is asked for the first time lacks what was sent to the one before, and
-// takes nothing until it is sent all.
+// propagate returns when a leader has acknowledged everything that this instance knows at
+// the time of the call. Only then may the caller be answered: a leaving upstream relies on
+// getting no new requests after the acknowledgement. A successful sync alone does not
+// prove delivery: a voter that is asked for the first time lacks the earlier batches and
+// acknowledges nothing until it has been sent all of them.
 func (n *Node) passOn(ctx context.Context) error {
 	if n.opts.Process.Voter {
 		return n.awaitDelivery(ctx)
@@ -83,7 +85,8 @@
 	return err
 }
 
-// gathered returns the batch up to which whatever was heard by now goes out.
+// gatherPosition adds all pending announcements to a batch and returns the position of the
+// last batch.
 func (c *core) gathered(now time.Time) uint64 {
 	if err := c.out.gather(now); err != nil {
 		eventRelayFailed.Log(c.log, event.Fields{"error": err})
@@ -91,8 +94,8 @@
 	return c.out.sender.Position()
 }
 
-// awaitDelivery waits until a sync of this voter has brought the leader all that is known
-// by now.
+// awaitDelivery waits until a sync of this voter has delivered to the leader everything
+// known at the time of the call.
 func (n *Node) awaitDelivery(ctx context.Context) error {
 	var done chan struct{}
 	err := n.do(ctx, func(time.Time) {
@@ -109,7 +112,7 @@
 	case <-n.stopped:
 		return errStopped
 	case <-ctx.Done():
-		_ = n.do(context.WithoutCancel(ctx), func(time.Time) { delete(n.core.fanout.delivery.waiting, done) }) // fails only when all ends
+		_ = n.do(context.WithoutCancel(ctx), func(time.Time) { delete(n.core.fanout.delivery.waiting, done) }) // fails only if the node has stopped
 		return errUndelivered
 	}
 }
--- a/control/delivery_test.go
+++ b/control/delivery_test.go
@@ -12,17 +12,17 @@
 )
 
 func TestLeavingUpstreamsDoNotKeepVotersFromElecting(t *testing.T) {
-	// A third of the engines are replaced, and the voters are killed and come back. Each
-	// engine that leaves waits at a voter for a leader. If the voter asked all others for
-	// one on behalf of each, again and again, they would have no time to elect one, and
-	// neither settings nor engines were acknowledged for seconds.
+	// A third of the engines are replaced, and the voters are killed and restarted. Each
+	// leaving engine waits at a voter for a leader. If the voter searched for a leader
+	// separately for each engine, the voters would have no time to elect one, and neither
+	// settings nor engines would be acknowledged for seconds.
 	f := newAttachingFleet(t, 3, 0)
 	first := f.apply(0, "a", testTree(1))
 	f.awaitInstalled(first.Revision)
 	for _, m := range f.members {
 		f.crash(m)
 	}
-	f.timing.Retry = time.Hour // each that looks for a leader does it once in this test
+	f.timing.Retry = time.Hour // each search for a leader is made only once in this test
 	alone := f.members[0]
 	f.start(alone, nil) // without a majority
 	const engines = 60
@@ -67,7 +67,7 @@
 	if !ended(first) || ended(second) {
 		t.Error("a leader has the first and not the second, and the waits say otherwise")
 	}
-	d.takenUpTo(0) // an older answer, late
+	d.takenUpTo(0) // an older response that arrives late
 	if ended(second) {
 		t.Error("an older answer ended a wait")
 	}
@@ -77,8 +77,8 @@
 	}
 }
 
-// Guards against telling an upstream that its leaving is known, when the answer came from a voter
-// or a leader that lacks what was sent to the one before and took nothing.
+// Guards against acknowledging a leaving upstream although the response came from a voter
+// or a leader that lacks earlier batches and applied nothing.
 func TestAnswerOfWhoLacksEarlierBatchesIsNoDelivery(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	c := newTestCore(t)
--- a/control/disk_test.go
+++ b/control/disk_test.go
@@ -10,7 +10,7 @@
 	"celeryport/wal"
 )
 
-// fullDisk is a file system that fails from a moment on.
+// fullDisk is a file system that fails once full is set.
 type fullDisk struct {
 	wal.OS
 	full atomic.Bool
@@ -39,9 +39,9 @@
 }
 
 func TestVoterWithAFullDiskIsNotCounted(t *testing.T) {
-	// The leader's disk fills up. If it went on without syncing, a change could
-	// count as accepted that only one voter remembers. It must stop taking part,
-	// and the others go on; the operator's change is accepted by them.
+	// The leader's disk fills up. If it continued without syncing, a change stored by only
+	// one voter could count as accepted. The leader must stop taking part, and the other
+	// voters must accept the operator's change.
 	t.Parallel()
 	f := newFleet(t, 3, 0)
 	first := f.apply(0, "a", testTree(1))
@@ -71,10 +71,10 @@
 }
 
 func TestVoterTakesPartAgainWhenItsDiskHasRoom(t *testing.T) {
-	// A disk is full for some seconds. If its voter stayed out until someone restarts
-	// it, the loss of another machine hours later would take the majority, and no
-	// change could be made any more. What it votes by afterwards has to be synced
-	// anew: the failed write may stand in the machine's memory only.
+	// A disk is full for some seconds. If its voter stayed out until a restart by hand,
+	// the loss of another machine hours later would take the majority, and no change could
+	// be made any more. The voter must rewrite and sync its state before it votes again:
+	// the data of the failed write may exist only in the machine's memory.
 	t.Parallel()
 	f := newFleet(t, 3, 0)
 	first := f.apply(0, "a", testTree(1))
--- a/control/documents.go
+++ b/control/documents.go
@@ -12,15 +12,15 @@
 	"celeryport/verdict"
 )
 
-// The commands for documents, which instances send each other.
+// The commands for documents, which instances send to each other.
 const (
 	commandPutDocument  = "document.put"
 	commandReadDocument = "document.read"
 )
 
-// PutDocument has a document accepted, through whichever voter leads. The
-// outcome is Accepted or Superseded. An error with the verdict MayHaveRun leaves
-// open what came of it; the same document may be put again.
+// PutDocument proposes a document through the current leader. The outcome is Accepted or
+// Superseded. After an error with the verdict MayHaveRun the outcome is unknown; the same
+// document may be put again.
 func (n *Node) PutDocument(ctx context.Context, version uint64, text []byte) (state.Outcome, error) {
 	packed, err := pack.Text(text)
 	if err != nil {
@@ -38,8 +38,8 @@
 	return outcome, json.Unmarshal(answer, &outcome)
 }
 
-// ReadAccepted returns the newest accepted document, confirmed by a majority of
-// the voters after the call: an error rather than an old one.
+// ReadAccepted returns the latest accepted document, confirmed by a majority of the voters
+// after the call began. It returns an error rather than an outdated document.
 func (n *Node) ReadAccepted(ctx context.Context) (*Accepted, error) {
 	answer, err := n.handlers[commandReadDocument](ctx, nil)
 	if err != nil {
--- a/control/documents_test.go
+++ b/control/documents_test.go
@@ -9,7 +9,7 @@
 	"celeryport/control/state"
 )
 
-// putDocument puts a document at one node, again until there is a clear answer.
+// putDocument puts a document at one node and repeats it until the outcome is known.
 func (f *fleet) putDocument(at *testNode, version uint64, text []byte) state.Outcome {
 	f.t.Helper()
 	var outcome state.Outcome
@@ -23,7 +23,8 @@
 	return outcome
 }
 
-// readAccepted reads the accepted document at one node until it answers.
+// readAccepted reads the accepted document at one node and repeats the read until it
+// succeeds.
 func (f *fleet) readAccepted(at *testNode) *Accepted {
 	f.t.Helper()
 	var found *Accepted
@@ -38,10 +39,10 @@
 }
 
 func TestHighestVersionHoldsWhateverTheOrder(t *testing.T) {
-	// Two operators send documents at the same time, an acknowledgement is lost and
-	// the document is sent again elsewhere, and an old one arrives late. If anything
-	// but the highest version came into force, an operator's change would be undone
-	// without a word.
+	// Two operators send documents at the same time, an acknowledgement is lost and the
+	// document is sent again to another instance, and an old document arrives late. If
+	// anything but the highest version came into force, an operator's change would be
+	// undone silently.
 	f := newFleet(t, 3, 1)
 	if got := f.putDocument(f.members[0], 7, testTree(7)); got.Kind != state.Accepted {
 		t.Fatalf("the first document: %+v", got)
@@ -85,9 +86,9 @@
 }
 
 func TestCutOffLeaderAnswersNoRead(t *testing.T) {
-	// A leader is cut off and does not know yet that the others have elected a new one
-	// and accepted a change. A read that it answered would show the operator the state
-	// before.
+	// A leader is partitioned and does not know yet that the others have elected a new one
+	// and accepted a change. A read answered by it would show the operator the state
+	// before the change.
 	f := newFleet(t, 3, 0)
 	f.putDocument(f.members[0], 1, testTree(1))
 	old := f.leader()
--- a/control/drain_test.go
+++ b/control/drain_test.go
@@ -9,9 +9,8 @@
 )
 
 func TestDrainingIsKnownAlthoughTheLeaderDies(t *testing.T) {
-	// An instance drains in the moment in which the leader dies. If the message
-	// went lost with it, callers would be sent to the draining instance until it
-	// refuses them.
+	// An instance starts draining at the moment when the leader dies. If the message were
+	// lost, callers would be sent to the draining instance until it rejects them.
 	t.Parallel()
 	f := newFleet(t, 3, 2)
 	first := f.apply(0, "a", testTree(1))
--- a/control/evidence.go
+++ b/control/evidence.go
@@ -14,23 +14,24 @@
 const commandReportEvidence = "quarantine.report"
 
 const (
-	// mostEvidence bounds the evidence that waits on an instance, and that of one report.
+	// maxEvidence limits the evidence queued on an instance, and the evidence in one
+	// report.
 	mostEvidence = 256
-	// evidencePause collects evidence that comes close together, as when an upstream ends
-	// with many calls, into one entry of the log.
+	// evidenceDelay is the time for which evidence is collected into one log entry, for
+	// instance when an upstream crashes with many requests running.
 	evidencePause = 10 * time.Millisecond
-	// evidenceTimeout bounds one try to reach the leader.
+	// evidenceTimeout limits one attempt to reach the leader.
 	evidenceTimeout = 2 * time.Second
 )
 
 // evidenceReport is the body of commandReportEvidence.
 type evidenceReport struct {
 	Evidence []quarantine.Evidence `json:"evidence"`
-	Relayed  bool                  `json:"relayed,omitempty"` // a voter passed it on; the next one must lead
+	Relayed  bool                  `json:"relayed,omitempty"` // set by a voter that forwards the report; the receiver must be the leader
 }
 
-// ReportEvidence implements Plane. It does not wait; a background task delivers the
-// evidence, and tries again while there is no leader.
+// ReportEvidence implements Plane. It does not block; a background task delivers the
+// evidence and retries while there is no leader.
 func (n *Node) ReportEvidence(e quarantine.Evidence) {
 	select {
 	case n.evidence <- e:
@@ -45,7 +46,7 @@
 	}
 }
 
-// runEvidence delivers the evidence of this instance until ctx ends.
+// runEvidence delivers the evidence of this instance until ctx is done.
 func (n *Node) runEvidence(ctx context.Context) error {
 	var waiting []quarantine.Evidence
 	failing := false
@@ -76,7 +77,8 @@
 	}
 }
 
-// gatherEvidence adds what came meanwhile, and drops the oldest above the bound.
+// gatherEvidence appends newly reported evidence and drops the oldest entries above the
+// limit.
 func (n *Node) gatherEvidence(waiting []quarantine.Evidence) []quarantine.Evidence {
 	for {
 		select {
@@ -103,7 +105,7 @@
 }
 
 // reportEvidence is the handler of commandReportEvidence. An instance without a log knows
-// a voter and not the leader, so that a report may take two steps.
+// a voter but not the leader, so a report may take two hops.
 func (n *Node) reportEvidence(ctx context.Context, body []byte) ([]byte, error) {
 	report, err := decode[evidenceReport](body)
 	if err != nil {
--- a/control/evidence_batch.go
+++ b/control/evidence_batch.go
@@ -12,29 +12,32 @@
 )
 
 const (
-	// batchPause is how long a leader gathers evidence for one entry of the log. When an
-	// upstream ends, several instances report what they had there: decided one after the
-	// other, a request that ran beside the cause could be quarantined before it.
+	// batchDelay is the time for which a leader collects evidence for one log entry. When
+	// an upstream crashes, several instances report the requests they had there. If each
+	// report were decided separately, a request that only ran beside the cause could be
+	// quarantined before it.
 	batchPause = 50 * time.Millisecond
-	// mostBatched bounds the evidence of one entry.
+	// maxBatched limits the evidence in one log entry.
 	mostBatched = 4096
 )
 
-// evidenceBatch is evidence that a leader proposes together.
+// evidenceBatch is evidence that a leader proposes in one entry.
 type evidenceBatch struct {
 	evidence []quarantine.Evidence
-	done     chan struct{} // closed when its fate is known
-	err      error         // set before
+	done     chan struct{} // closed when the outcome is known
+	err      error         // set before done is closed
 }
 
 var (
-	// errOldVoters refuses entries at which voters of an older version would stop.
+	// errOldVoters rejects entries that voters of an older version cannot apply and would
+	// stop at.
 	errOldVoters = verdict.Refuse(verdict.ReasonConflict, time.Second, "not every voter is upgraded")
-	// errBatchFull refuses evidence beside which too much waits.
+	// errBatchFull rejects evidence while too much is already queued.
 	errBatchFull = verdict.Refuse(verdict.ReasonQueueFull, time.Second, "too much evidence waits")
 )
 
-// proposeEvidence has evidence committed with what others report in the same moment.
+// proposeEvidence commits evidence in one entry with the evidence that other instances
+// report at about the same time.
 func (n *Node) proposeEvidence(ctx context.Context, evidence []quarantine.Evidence) error {
 	var batch *evidenceBatch
 	err := n.whileLeading(ctx, func(_ time.Time, _ *group) error {
@@ -66,7 +69,7 @@
 	}
 }
 
-// commitBatch proposes the batch of a leader when it has gathered for a while.
+// commitBatch proposes the batch of a leader after batchDelay.
 func (n *Node) commitBatch(l *leader) {
 	ctx, cancel := context.WithTimeout(context.Background(), evidenceTimeout)
 	defer cancel()
@@ -82,13 +85,13 @@
 		n.core.group.propose(now, &state.Command{At: now.Round(0).UTC(), Evidence: batch.evidence}, done)
 	})
 	if err != nil {
-		return // the node has stopped, which all that wait notice by themselves
+		return // the node has stopped, which all waiting callers detect themselves
 	}
 	_, batch.err = n.awaitProposal(ctx, done)
 	close(batch.done)
 }
 
-// votersRead reports whether all voters that live can read log entries of a version.
+// votersSupport reports whether all live voters can read log entries of a version.
 func (l *leader) votersRead(version int) bool {
 	for _, i := range l.table.Changed(0) {
 		if i.Voter && i.State != membership.Gone && i.LogVersion < version {
--- a/control/evidence_test.go
+++ b/control/evidence_test.go
@@ -17,7 +17,7 @@
 
 var lethal = quarantine.Fingerprint{Scope: 1, Body: 7}
 
-// reportCrashes has three instances report one crash each.
+// reportCrashes reports one crash through each of the given instances.
 func (f *fleet) reportCrashes(at []*testNode) {
 	f.t.Helper()
 	for n, m := range at {
@@ -25,7 +25,8 @@
 	}
 }
 
-// awaitQuarantine waits until running instances reject the request, or no longer do.
+// awaitQuarantine waits until the running instances reject the request, or no longer
+// reject it.
 func (f *fleet) awaitQuarantine(at []*testNode, want bool) {
 	f.t.Helper()
 	for _, m := range at {
@@ -33,8 +34,8 @@
 	}
 }
 
-// Guards against a request that crashes three engines at each of many instances, since each
-// of them knows only its own.
+// Guards against a request that crashes three engines for each of many instances because
+// every instance counts only its own crashes.
 func TestCrashesAreCountedOverAllInstances(t *testing.T) {
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 4)
@@ -45,8 +46,8 @@
 	f.awaitQuarantine(f.members[3:], false)
 }
 
-// Guards against a request that crashes engines again after a restart of the fleet, when no
-// instance that takes calls remembers it.
+// Guards against a request that crashes engines again after a restart of the fleet,
+// because no instance that serves requests remembers it.
 func TestQuarantineSurvivesTheLossOfAllProcesses(t *testing.T) {
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 3)
@@ -67,7 +68,7 @@
 	f.awaitQuarantine([]*testNode{fresh}, true)
 }
 
-// Guards against evidence that is lost because it came while there was no leader.
+// Guards against the loss of evidence that is reported while there is no leader.
 func TestEvidenceWaitsForALeader(t *testing.T) {
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 3)
@@ -77,7 +78,8 @@
 	f.awaitQuarantine(f.members[3:], true)
 }
 
-// Guards against voters that stop in the middle of an upgrade, at entries that they can't read.
+// Guards against voters that stop in the middle of an upgrade at log entries that they
+// cannot decode.
 func TestEvidenceWaitsUntilAllVotersAreUpgraded(t *testing.T) {
 	l := &leader{table: membership.NewTable(began, DefaultTiming().Membership)}
 	voter := func(name string, version int) membership.Instance {
@@ -94,7 +96,8 @@
 	}
 }
 
-// stateLogVersion has a voter state itself anew, as one that reads log entries up to a version.
+// stateLogVersion states a voter again, with the given version of log entries that it can
+// read.
 func (f *fleet) stateLogVersion(m *testNode, version int) {
 	f.t.Helper()
 	err := m.node.do(f.t.Context(), func(time.Time) {
@@ -107,7 +110,7 @@
 	}
 }
 
-// Guards against entries that a voter of the version before can't read.
+// Guards against log entries that a voter of the previous version cannot decode.
 func TestLeaderProposesNoEvidenceBesideAnOldVoter(t *testing.T) {
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 3)
@@ -134,7 +137,7 @@
 	f.awaitQuarantine(f.members[3:], true)
 }
 
-// Guards against a report that fills the log of the voters, or that they can't read.
+// Guards against a report that fills the log of the voters or that they cannot decode.
 func TestUnusableReportsAreRejected(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 1, 0)
@@ -153,7 +156,8 @@
 	}
 }
 
-// Guards against a voter that differs from the others after it was restored from a snapshot.
+// Guards against a voter whose state differs from the others' after it was restored from a
+// snapshot.
 func TestSnapshotKeepsTheEvidence(t *testing.T) {
 	first, second := state.New(), state.New()
 	for index := range uint64(3) {
@@ -179,7 +183,8 @@
 	}
 }
 
-// Guards against a request that stays rejected although an operator knows that it is harmless.
+// Guards against a request that stays rejected although an operator knows that it is
+// harmless.
 func TestOperatorReleasesARequest(t *testing.T) {
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 3)
--- a/control/failure_test.go
+++ b/control/failure_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestIsolatedInstanceStopsBeforeAChangeIsInForce(t *testing.T) {
-	// An instance is cut off silently and misses a change that takes a right away
-	// from an organisation. If it went on to admit after operators were told that
-	// the change is in force everywhere, the right would still be there.
+	// An instance is partitioned without an error and misses a change that revokes a right
+	// of an organisation. If it continued to admit requests after operators were told that
+	// the change is in force everywhere, the right would still be usable.
 	t.Parallel()
 	f := newFleet(t, 3, 2)
 	first := f.apply(0, "a", testTree(1))
@@ -31,10 +31,10 @@
 }
 
 func TestIsolatedLeaderGrantsNothing(t *testing.T) {
-	// The leader is cut off from the other voters, but one instance can still
-	// reach it. The others elect a new leader and accept a change. If the old
-	// leader went on to grant leases, that instance would admit by settings that
-	// no longer hold.
+	// The leader is partitioned from the other voters, but one instance can still reach
+	// it. The others elect a new leader and accept a change. If the old leader continued
+	// to grant leases, that instance would admit requests by settings that are no longer
+	// in force.
 	t.Parallel()
 	f := newFleet(t, 3, 1)
 	first := f.apply(0, "a", testTree(1))
@@ -56,10 +56,9 @@
 }
 
 func TestFrozenLeaderGrantsNothing(t *testing.T) {
-	// The leader's process is frozen in the middle of its work and wakes when the
-	// others have long elected a new one. If it answered the syncs that wait in
-	// its queue with leases, their senders would admit by settings that may have
-	// been replaced meanwhile.
+	// The leader's process is suspended while it works and resumes long after the others
+	// have elected a new leader. If it answered the syncs in its queue with leases, their
+	// senders would admit requests by settings that may have been replaced.
 	t.Parallel()
 	f := newFleet(t, 3, 0)
 	first := f.apply(0, "a", testTree(1))
@@ -77,9 +76,9 @@
 }
 
 func TestNoMajorityNoAdmission(t *testing.T) {
-	// Two of three voters die. Nobody can say any more which settings hold, so
-	// every instance stops admitting when its lease ends, and goes on when one
-	// voter is back. Callers see refusals that say not-run in between.
+	// Two of three voters die. No instance can determine which settings are in force, so
+	// every instance stops admitting requests when its lease ends, and resumes when one
+	// voter is back. In between, callers get rejections with the verdict not-run.
 	t.Parallel()
 	f := newFleet(t, 3, 1)
 	first := f.apply(0, "a", testTree(1))
@@ -99,9 +98,9 @@
 }
 
 func TestResentOrderAfterEveryRestart(t *testing.T) {
-	// An operator's answer is lost, then the leader dies, the log is replaced by
-	// snapshots, and every process restarts. The operator sends the order again
-	// and must learn what came of it, and the settings must not revert.
+	// An operator's acknowledgement is lost, then the leader dies, the log is replaced by
+	// snapshots, and every process restarts. The operator sends the order again and must
+	// get its original outcome, and the settings must not revert.
 	t.Parallel()
 	f := newFleetWith(t, 3, 1, func(timing *Timing) { timing.Compact = 8 })
 	first := f.apply(0, "a", testTree(1))
@@ -134,7 +133,7 @@
 	f.awaitInstalled(base)
 }
 
-// revisionOf is the revision that a member has installed, 0 before the first.
+// revisionOf returns the revision that a member has installed, 0 before the first.
 func revisionOf(m *testNode) uint64 {
 	if tree := m.node.View().Tree; tree != nil {
 		return tree.Revision
--- a/control/fanout.go
+++ b/control/fanout.go
@@ -10,29 +10,29 @@
 	"celeryport/membership"
 )
 
-// fanout is the part of a voter, leading or not, that answers the syncs of the
-// instances attached to it: it tells them what the voter itself has heard from the
-// leader and from the log, and passes on what they state.
+// fanout is the part of a voter, leading or not, that answers the syncs of the instances
+// attached to it: it sends them what the voter has received from the leader and the log,
+// and forwards their statements to the leader.
 //
-// A leader that answers every instance of a large fleet itself has its processor
-// taken by syncs, and most by those that come all at once when one instance joins or
-// an engine leaves. The messages of consensus then wait behind them for longer than an
-// election timeout: the group changes its leader about once a second, and neither
-// settings nor leaving engines are acknowledged.
+// If the leader of a large fleet answered every instance itself, syncs would saturate its
+// processor, above all those that arrive at once when an instance joins or an engine
+// leaves. Consensus messages would be queued behind them for longer than an election
+// timeout: the group then changes its leader about once a second, and neither settings nor
+// leaving engines are acknowledged.
 type fanout struct {
 	core    *core
 	epoch   string
 	roster  *attachment.Roster
 	all     memberDelta // all instances, as of allAt
-	allAt   uint64      // revision of the list of instances; 0: not encoded yet
+	allAt   uint64      // revision of the member list; 0: not encoded yet
 	polls   []poll
-	out     outbox           // what is known of upstreams
-	inboxes map[string]inbox // of what attached instances heard, by name
-	leaving bool             // an upstream leaves, which can't wait
-	urgent  uint64           // last batch that could not wait
+	out     outbox           // batches of all known upstreams
+	inboxes map[string]inbox // announcements received by attached instances, by instance name
+	leaving bool             // an upstream is leaving, so the next batch must not be delayed
+	urgent  uint64           // last batch that could not be delayed
 
-	delivery delivery // of what a leader must have
-	left     uint64   // mark of the last upstream that leaves of which an attached instance told
+	delivery delivery // updates that a leader must acknowledge
+	left     uint64   // mark of the last leaving upstream that an attached instance reported
 }
 
 func newFanout(c *core) *fanout {
@@ -45,14 +45,14 @@
 	}
 }
 
-// inTouch reports whether this voter hears a leader. One that does not may be cut off
-// from the others and know nothing of the newest settings, while the instances that
-// are attached to it still reach the rest.
+// connected reports whether this voter is in contact with a leader. A voter that is not
+// may be partitioned from the others and lack the latest settings, while its attached
+// instances can still reach the other voters.
 func (f *fanout) inTouch(now time.Time) bool {
 	return f.core.inTouch && now.Sub(f.core.syncedAt) <= f.core.timing.Touch
 }
 
-// accept takes in a sync and holds it until there is news.
+// accept processes a sync and holds it until there is a change.
 func (f *fanout) accept(now, arrivedAt time.Time, request *syncRequest, reply chan<- *syncResponse) {
 	if request.Probe {
 		revision, _ := f.core.newestText()
@@ -78,7 +78,7 @@
 	f.polls = append(f.polls, p)
 }
 
-// complete fills in what a brief statement leaves out.
+// resolveBrief fills in the fields that a brief statement omits.
 func (f *fanout) complete(request *syncRequest) bool {
 	brief := request.Brief
 	if brief == nil {
@@ -92,8 +92,8 @@
 	return true
 }
 
-// takeHeard takes in what an attached instance heard of upstreams, to be passed on to
-// the leader like what this voter heard itself.
+// receiveHeard processes the announcements received by an attached instance, which are
+// forwarded to the leader like those that this voter received itself.
 func (f *fanout) takeHeard(now time.Time, p *poll) uint64 {
 	relayed, position := takeInbox(f.inboxes, now, p)
 	for _, r := range relayed {
@@ -110,7 +110,7 @@
 	return position
 }
 
-// step answers what is due and returns when to come back.
+// step answers the syncs that are due and returns when to call it again.
 func (f *fanout) step(now time.Time) time.Time {
 	f.spread(now)
 	next := now.Add(maxWait)
@@ -127,8 +127,8 @@
 	return next
 }
 
-// answerDue replies to the polls for which answer returns something. It returns the
-// others, and when the first of them is due unless next is earlier.
+// answerDue replies to the polls for which answer returns a response. It returns the
+// remaining ones, and the earlier of next and the time when the first of them is due.
 func answerDue(now time.Time, polls []poll, next time.Time, answer func(p *poll) *syncResponse) ([]poll, time.Time) {
 	held := polls[:0]
 	for i := range polls {
@@ -144,9 +144,10 @@
 	return held, next
 }
 
-// hasNews reports whether an instance must learn something at once: settings, an
-// upstream that leaves, or a request that crashes upstreams. Instances that come and go wait for the next answer. When a
-// whole fleet starts, each of them would else wake all the others.
+// hasNews reports whether an instance must be answered at once: because of new settings, a
+// leaving upstream, or a change of the quarantined requests. Instances that join or leave
+// wait for the next response. Otherwise, when a whole fleet starts, each instance would
+// wake all the others.
 func (f *fanout) hasNews(r *syncRequest, revision uint64) bool {
 	return r.Epoch != f.epoch || r.Instance.Revision < revision || r.Upstreams < f.urgent || f.core.group.quarantineAfter(r) != nil
 }
@@ -189,7 +190,7 @@
 	return response
 }
 
-// membersSince returns the instances that changed after a revision of the list.
+// membersSince returns the instances that changed after a revision of the member list.
 func (f *fanout) membersSince(revision uint64) memberDelta {
 	members := &f.core.members
 	if revision > 0 {
@@ -207,8 +208,8 @@
 	return f.all
 }
 
-// spread makes a batch of what changed of upstreams when one is due, at once when an
-// upstream leaves.
+// broadcast adds a batch of upstream changes when one is due, and at once if an upstream
+// is leaving.
 func (f *fanout) spread(now time.Time) {
 	if !f.leaving && !f.out.due(now) {
 		return
@@ -222,7 +223,8 @@
 	}
 }
 
-// currentVoters lists the voters of the log, or those that a leader named.
+// currentVoters lists the voters according to the log, or else those last named by a
+// leader.
 func (c *core) currentVoters() []consensus.Member {
 	if voters := c.group.voters(); len(voters) > 0 {
 		return voters
--- a/control/fanout_bench_test.go
+++ b/control/fanout_bench_test.go
@@ -11,8 +11,8 @@
 	"celeryport/upstream"
 )
 
-// BenchmarkWholeAnswer is what a voter spends on one instance that starts: the whole
-// fleet of 330 instances and 600 upstreams, encoded for the wire.
+// BenchmarkWholeAnswer measures a voter's work for one starting instance: the whole fleet
+// of 330 instances and 600 upstreams, encoded for the wire.
 func BenchmarkWholeAnswer(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
 	c := newTestCore(b)
@@ -46,8 +46,8 @@
 	b.ReportMetric(float64(size), "bytes/answer")
 }
 
-// BenchmarkShortAnswer is what a voter spends on one sync of an instance that has
-// everything.
+// BenchmarkShortAnswer measures a voter's work for one sync of an instance that is up to
+// date.
 func BenchmarkShortAnswer(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
 	c := newTestCore(b)
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -24,36 +24,36 @@
 	members []*testNode
 	timing  Timing
 	network network
-	heal    int // voters that leaders keep by themselves
+	heal    int // number of voters that leaders maintain automatically
 	fanOut  bool
-	zones   []string // of the instances, in turn; empty: all are in one
+	zones   []string // availability zones of the instances in rotation; empty: all are in one
 }
 
-// testNode is one node that can be stopped and started again.
+// testNode is a node that can be stopped and restarted.
 type testNode struct {
 	node    *Node
 	process settings.Process
 	disk    *fullDisk
-	clock   clock.Clock // nil: the machine's
+	clock   clock.Clock // nil: the system clock
 	stop    context.CancelFunc
 	ended   chan error
 }
 
 const testInstanceKey, testOperatorKey = "instance-key", "operator-key"
 
-// testTree is a tree whose text differs for each n.
+// testTree returns a settings tree whose text differs for each n.
 func testTree(n int) []byte {
 	return fmt.Appendf(nil, "[organisation.aretusa]\nweight = %d\n[class.counter]\ndeadline = 5s\n[length.any]\nup_to = 2M\n", n+1)
 }
 
-// newFleet starts the first voters instances as voters and the others without
-// a data folder, and waits until all hold a lease.
+// newFleet starts instances, the first ones as voters and the others without a data
+// folder, and waits until all of them hold a lease.
 func newFleet(t *testing.T, voters, others int) *fleet {
 	t.Helper()
 	return newFleetWith(t, voters, others, func(*Timing) {})
 }
 
-// newHealingFleet starts voters whose leaders keep their number by themselves.
+// newHealingFleet starts voters whose leaders maintain their number automatically.
 func newHealingFleet(t *testing.T, voters int) *fleet {
 	t.Helper()
 	f := &fleet{t: t, timing: testTiming(), heal: voters}
@@ -94,7 +94,7 @@
 	return timing
 }
 
-// add starts one more instance.
+// add starts an additional instance.
 func (f *fleet) add(number int, voter bool, listener net.Listener) *testNode {
 	f.t.Helper()
 	process := settings.Process{
@@ -118,7 +118,7 @@
 	return n
 }
 
-// start runs the node; a nil listener listens on its address again.
+// start runs the node; if listener is nil, the node listens on its former address.
 func (f *fleet) start(n *testNode, listener net.Listener) {
 	f.t.Helper()
 	log := logrus.New()
@@ -146,7 +146,7 @@
 	return f.zones[number%len(f.zones)]
 }
 
-// halt stops the node and waits for its end.
+// halt stops the node and waits until it has ended.
 func (n *testNode) halt() {
 	if n.stop == nil {
 		return
@@ -156,7 +156,7 @@
 	n.stop = nil
 }
 
-// await waits for a condition that the fleet reaches by its own events.
+// await waits for a condition that becomes true without further action by the test.
 func (f *fleet) await(what string, condition func() bool) {
 	f.t.Helper()
 	deadline := time.NewTimer(30 * time.Second)
@@ -172,8 +172,8 @@
 	}
 }
 
-// ask sends an operator's command to the running nodes in turn until one of
-// them answers.
+// ask sends an operator's command to the running nodes in turn until one of them answers
+// it.
 func (f *fleet) ask(command string, request, response any) {
 	f.t.Helper()
 	body, err := json.Marshal(request)
@@ -199,7 +199,7 @@
 	})
 }
 
-// apply sends one order and returns its outcome.
+// apply sends an order and returns its outcome.
 func (f *fleet) apply(base uint64, id string, text []byte) state.Outcome {
 	f.t.Helper()
 	var outcome state.Outcome
@@ -207,7 +207,7 @@
 	return outcome
 }
 
-// leader waits for a node that leads and is not cut off.
+// leader waits for a node that leads and is not partitioned.
 func (f *fleet) leader() *testNode {
 	f.t.Helper()
 	var found *testNode
@@ -223,14 +223,14 @@
 	return found
 }
 
-// crash ends a node without a word to the others.
+// crash ends a node without notifying the others.
 func (f *fleet) crash(n *testNode) {
 	f.network.cut(n.process.ControlListen)
 	n.halt()
 	f.network.heal(n.process.ControlListen)
 }
 
-// awaitInstalled waits until every running node admits by the revision.
+// awaitInstalled waits until every running node has installed the revision.
 func (f *fleet) awaitInstalled(revision uint64) {
 	f.t.Helper()
 	for _, m := range f.members {
@@ -240,7 +240,7 @@
 	}
 }
 
-// awaitInForce waits until the leader says that the revision is in force.
+// awaitInForce waits until the leader reports that the revision is in force.
 func (f *fleet) awaitInForce(revision uint64) {
 	f.t.Helper()
 	f.await(fmt.Sprintf("revision %d in force", revision), func() bool {
@@ -250,7 +250,7 @@
 	})
 }
 
-// awaitOne waits until a node admits by the revision.
+// awaitOne waits until a node has installed the revision.
 func (f *fleet) awaitOne(m *testNode, revision uint64) {
 	f.t.Helper()
 	f.await(fmt.Sprintf("revision %d at %s", revision, m.process.Name), func() bool {
--- a/control/fleetanswer.go
+++ b/control/fleetanswer.go
@@ -10,21 +10,21 @@
 	"celeryport/pack"
 )
 
-// fleetAnswer is what is known of the fleet, packed for the wire once for all that ask.
-// When hundreds of instances that were killed at once come back, each asks each voter
-// until one answers; encoded for each of them, the fleet takes all of the voters' time,
-// and none of the instances serves for as long as they ask.
+// fleetAnswer is the known fleet, encoded and compressed once for all instances that
+// request it. When hundreds of instances that were killed at once come back, each asks
+// each voter until one answers; encoding the fleet for each of them would use up the
+// voters' processor time and delay every instance.
 type fleetAnswer struct {
 	remembered
 
-	packed []byte // as packed JSON; nil: not packed
+	packed []byte // compressed JSON; nil: not compressed
 	at     time.Time
 }
 
-// fleetAnswerKept is how long a packed fleet is given out before it is packed anew.
+// fleetAnswerTTL is how long a compressed fleet is reused.
 const fleetAnswerKept = 250 * time.Millisecond
 
-// fleetToTell returns what this instance knows of the fleet.
+// currentFleet returns the fleet known to this instance.
 func (c *core) fleetToTell(now time.Time) fleetAnswer {
 	if c.fleetAnswer.packed != nil && now.Sub(c.fleetAnswer.at) < fleetAnswerKept {
 		return c.fleetAnswer
@@ -50,10 +50,11 @@
 	return fleetAnswer{remembered: fleet, packed: packed}, err
 }
 
-// IsZero has a fleet without upstreams and instances left out.
+// IsZero reports whether the fleet is empty, in which case it is omitted from JSON.
 func (f fleetAnswer) IsZero() bool { return len(f.Upstreams) == 0 && len(f.Instances) == 0 }
 
-// MarshalJSON implements json.Marshaler: an object, or a string where it is packed.
+// MarshalJSON implements json.Marshaler. The result is an object, or a string if the fleet
+// is compressed.
 func (f fleetAnswer) MarshalJSON() ([]byte, error) {
 	if f.packed != nil {
 		return json.Marshal(f.packed)
--- a/control/founding.go
+++ b/control/founding.go
@@ -13,26 +13,26 @@
 	"celeryport/event"
 )
 
-// commandHello is the command by which voters learn of each other's data
-// folders before the group is founded.
+// commandHello is the command by which voters learn the IDs of each other's data folders
+// before the group is founded.
 const commandHello = "voter.hello"
 
-// helloResponse says which data folder a voter has and whether it belongs to a
-// group already.
+// helloResponse identifies the data folder of a voter and states whether it already
+// belongs to a group.
 type helloResponse struct {
 	ID       consensus.ID             `json:"id"`
 	Founded  bool                     `json:"founded"`
-	Founding *consensus.Configuration `json:"founding,omitempty"` // of a founding member
+	Founding *consensus.Configuration `json:"founding,omitempty"` // founding configuration, if this voter is a founding member
 }
 
-// runFounding finds out how this voter begins.
+// runFounding determines how this voter joins the group.
 //
-// The danger is a voter that lost its disk and starts with the settings of its
-// first day: if it founded the group again, it could vote as its old self and
-// help to elect a leader that lacks accepted changes. So the ID of a voter
-// belongs to its data folder, the group is founded once, by the first voter of
-// the settings and only when all of them answer, and the others take part only
-// when the founding names the folder that they have now.
+// A voter that lost its disk and starts with its original settings must not found the
+// group again: it could vote under its old identity and help to elect a leader that lacks
+// accepted changes. Therefore the ID of a voter belongs to its data folder, the group is
+// founded once, by the first voter in the settings and only when all of them answer, and
+// the other voters take part only if the founding configuration contains the ID of their
+// present folder.
 func (n *Node) runFounding(ctx context.Context) error {
 	var waits bool
 	if err := n.do(ctx, func(time.Time) { waits = n.core.group != nil && n.core.group.awaitsFounding() }); err != nil || !waits {
@@ -51,8 +51,8 @@
 	}
 }
 
-// found asks all voters and returns the founding configuration, or an empty one
-// for a voter that is not a member.
+// found asks all voters and returns the founding configuration, or an empty one if this
+// voter is not a member.
 func (n *Node) found(ctx context.Context) (consensus.Configuration, bool) {
 	var all consensus.Configuration
 	complete := true
@@ -107,11 +107,11 @@
 	return json.Marshal(hello)
 }
 
-// awaitsFounding reports whether this voter must still find out how to begin.
+// awaitsFounding reports whether it is still undecided how this voter joins the group.
 func (g *group) awaitsFounding() bool { return g.node == nil && g.failed == nil }
 
-// begin starts consensus with the founding configuration. It is synced first:
-// a voter that forgot it in a crash could take part in another founding.
+// begin starts consensus with the founding configuration. The configuration is synced
+// first: a voter that lost it in a crash could take part in a second founding.
 func (g *group) begin(founding consensus.Configuration) error {
 	if !founding.Voter(g.id) {
 		eventNotMember.Log(g.core.log, event.Fields{"id": g.id})
@@ -129,7 +129,7 @@
 	return g.start(founding)
 }
 
-// loadFounding reads the founding that this folder took part in, nil if none.
+// loadFounding reads the founding configuration of this data folder, nil if there is none.
 func loadFounding(folder dataFolder) (*consensus.Configuration, error) {
 	data, err := folder.read(foundingFile)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/control/fuzz_test.go
+++ b/control/fuzz_test.go
@@ -10,8 +10,8 @@
 )
 
 func FuzzAttachedSync(f *testing.F) {
-	// An instance of another version, or a fault, sends a voter a sync that makes no sense.
-	// The voter must answer or refuse it, and go on for the others.
+	// An instance of another version, or a faulty one, sends a malformed sync to a voter.
+	// The voter must answer or reject it and continue to serve the others.
 	whole, err := json.Marshal(syncRequest{Instance: membership.Instance{Name: "a", Incarnation: 1}, Attach: true, WaitMs: 500})
 	if err != nil {
 		f.Fatal(err)
@@ -39,7 +39,8 @@
 }
 
 func FuzzAttachedStatements(f *testing.F) {
-	// The leader must take what a voter states of others, however odd, without failing.
+	// The leader must handle any statement of a voter about its attached instances without
+	// failing.
 	f.Add([]byte(`[{"w":{"name":"a","incarnation":2},"a":3},{"b":{"n":"a","i":1}},{"b":{"n":"b","i":1,"s":2}}]`))
 	f.Add([]byte(`[{}]`))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/control/grants.go
+++ b/control/grants.go
@@ -8,38 +8,39 @@
 	"celeryport/settings"
 )
 
-// allocateInterval is how often the limits are divided anew. Dividing at each
-// answer would cost instances times instances.
+// allocateInterval is the time between two allocations of the limits. Allocating for each
+// sync would take time quadratic in the number of instances.
 const allocateInterval = 250 * time.Millisecond
 
-// allocation divides the fleet's limits between the instances on the leader. It
-// is pure and belongs to one leader.
+// allocation divides the organisations' limits between the instances on the leader. It
+// does no I/O and belongs to a single leader.
 type allocation struct {
-	lease      time.Duration // of a grant, the leader's margin included
+	lease      time.Duration // lifetime of a grant, including the leader's margin
 	statements map[string]*statement
 	grants     map[string][]quota.Grant
 	at         time.Time
-	number     uint64 // of the last round
+	number     uint64 // number of the last allocation round
 }
 
-// statement is the last word of one instance and what it may act on.
+// statement is the last demand stated by an instance and the grants that it may be using.
 type statement struct {
 	demand []quota.Demand
 	at     time.Time
-	handed []handed // that it may act on or still receive, oldest first
+	handed []handed // grants that it may be using or may still receive, oldest first
 }
 
-// handed are the grants of one answer.
+// issuedGrants are the grants sent in one response.
 type handed struct {
-	number uint64 // round of the division
+	number uint64 // allocation round
 	grants []quota.Grant
 	at     time.Time
 }
 
-// drop forgets answers that the instance will not act on any more.
+// prune removes issued grants that the instance will not use any more.
 func (s *statement) drop(gone func(handed) bool) { s.handed = slices.DeleteFunc(s.handed, gone) }
 
-// outstanding returns all that the instance may act on besides what it stated.
+// outstanding returns the grants that the instance may use in addition to those that it
+// has confirmed.
 func (s *statement) outstanding() []quota.Grant {
 	var all []quota.Grant
 	for _, h := range s.handed {
@@ -52,9 +53,9 @@
 	return &allocation{lease: lease, statements: map[string]*statement{}}
 }
 
-// state takes an instance's demand. seen is the round whose grants it acts on;
-// it never goes back to an earlier one, but answers of later rounds may still be
-// on their way to it. If they were forgotten, the same part would be given twice.
+// recordDemand records an instance's demand. seen is the round of the grants in use: the
+// instance never returns to an earlier round, but responses of later rounds may still be
+// in transit. Pruning those as well would grant the same share twice.
 func (a *allocation) state(now time.Time, instance string, demand []quota.Demand, seen uint64) {
 	s := a.statements[instance]
 	if s == nil {
@@ -65,7 +66,7 @@
 	s.drop(func(h handed) bool { return h.number <= seen })
 }
 
-// hand returns the grants of an instance and the round that they belong to.
+// issue returns the grants of an instance and their allocation round.
 func (a *allocation) hand(now time.Time, instance string, tree *settings.Tree) ([]quota.Grant, uint64) {
 	if now.Sub(a.at) >= allocateInterval {
 		a.divide(now, tree)
@@ -79,7 +80,7 @@
 	return grants, a.number
 }
 
-// divide allocates the limits to the instances that spoke within a lease.
+// reallocate divides the limits between the instances that synced within the last lease.
 func (a *allocation) divide(now time.Time, tree *settings.Tree) {
 	a.expire(now)
 	statements := make([]quota.Statement, 0, len(a.statements))
@@ -117,9 +118,9 @@
 	return limits
 }
 
-// grants returns an instance's grants. A new leader waits one whole lease
-// first: until then instances may act on parts that its predecessor granted and
-// that it has not heard of.
+// grants returns an instance's grants. A new leader waits for one whole lease first: until
+// then instances may use shares granted by the previous leader, which this one does not
+// know.
 func (l *leader) grants(now time.Time, instance string) ([]quota.Grant, uint64) {
 	if !l.table.Settled(now) {
 		return nil, 0
--- a/control/grants_test.go
+++ b/control/grants_test.go
@@ -12,9 +12,9 @@
 )
 
 func TestGrantsNeverExceedTheLimit(t *testing.T) {
-	// Statements and grants cross on the way, or are lost, while the demand moves
-	// from one instance to another. If a part counted as free before its holder
-	// had given it up, the fleet would run more of an organisation than its limit.
+	// Statements and grants cross in transit or are lost, while the demand moves from one
+	// instance to another. If a share counted as free before its holder had released it,
+	// the fleet would admit more of an organisation than its limit.
 	const limit, lease, margin = 12, 3 * time.Second, time.Second
 	tree := &settings.Tree{Organisations: []settings.Organisation{{Name: "o", Limits: settings.Limits{InFlight: limit}}}}
 	type holder struct {
--- a/control/group.go
+++ b/control/group.go
@@ -13,33 +13,33 @@
 	"celeryport/wal"
 )
 
-// group is a voter's part in the control group: it drives consensus, keeps its
-// log on disk and feeds the state machine. Only the control goroutine touches
+// group is a voter's part in the control group: it drives consensus, writes the log to
+// disk and applies committed entries to the state machine. Only the control goroutine uses
 // it.
 type group struct {
 	core        *core
 	id          consensus.ID
 	log         *wal.Log
-	stored      consensus.Storage // read at start, for consensus
-	node        *consensus.Node   // nil until the group is founded, and after the disk failed
+	stored      consensus.Storage // read at start and passed to consensus
+	node        *consensus.Node   // nil until the group is founded, and after a disk failure
 	machine     *state.Machine
 	founding    *consensus.Configuration
 	proposals   proposals
 	peers       map[consensus.ID]*peer
-	senders     map[consensus.ID]string // address that each sender gave of itself
+	senders     map[consensus.ID]string // address that each sender stated for itself
 	appliedTerm uint64                  // term of the last applied entry
 	compacted   uint64                  // index of the last snapshot
 	reads       reads
-	quarantined *quarantine.List // as of its version
+	quarantined *quarantine.List // list returned last
 	failed      error            // why the voter stopped
-	retryAt     time.Time        // when to open the folder again
+	retryAt     time.Time        // when to try to reopen the folder
 }
 
-// farAway is when to come back for something that nothing is scheduled for.
+// idleWait is the time until the next step when nothing is scheduled.
 const farAway = time.Hour
 
-// start begins to take part. A voter that is not in the initial configuration
-// knows none, and waits until a leader reaches it.
+// start begins to take part in consensus. A voter without an initial configuration waits
+// until a leader contacts it.
 func (g *group) start(initial consensus.Configuration) error {
 	if err := g.machine.Restore(g.stored.Snapshot.Data); err != nil {
 		return err
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// step lets time pass and does all that has come up.
+// step advances the time of consensus and processes all resulting batches.
 func (g *group) step(now time.Time) (time.Time, error) {
 	if g.node == nil {
 		return g.reopenIfDue(now)
@@ -83,8 +83,7 @@
 	return g.node.NextTick(), nil
 }
 
-// process handles one batch in the order that consensus demands: sync, send,
-// apply.
+// process handles one batch in the order that consensus requires: sync, send, apply.
 func (g *group) process(now time.Time) error {
 	batch := g.node.Ready()
 	if err := g.store(&batch); err != nil {
@@ -105,11 +104,11 @@
 	return nil
 }
 
-// fail ends this voter's part after a write or sync failed. Nothing that it
-// promised since the last good sync may be counted on, and after a failed sync
-// a second one can report success without having written anything: so nothing is
-// synced again in place. The instance itself goes on with another voter as its
-// leader until reopen has written everything anew.
+// fail stops this voter's part in consensus after a failed write or sync. None of its
+// promises since the last successful sync can be relied on, and a sync repeated after a
+// failed one can succeed without having written anything; so nothing is synced again in
+// place. The instance continues with another voter as leader until reopen has rewritten
+// everything to new files.
 func (g *group) fail(now time.Time, err error) {
 	eventStorageFailed.Log(g.core.log, event.Fields{"error": err, "folder": g.core.installed.folder.path})
 	g.failed = err
@@ -158,7 +157,8 @@
 	return nil
 }
 
-// quarantineAfter returns the quarantined requests, nil if the sender of a sync knows them.
+// quarantineAfter returns the quarantined requests, nil if the sender of the sync has the
+// current version.
 func (g *group) quarantineAfter(r *syncRequest) *quarantine.List {
 	version := g.machine.QuarantineVersion()
 	if r.Quarantine == nil || version <= *r.Quarantine {
@@ -170,7 +170,7 @@
 	return g.quarantined
 }
 
-// reconfigure notes a committed change of the members.
+// reconfigure applies a committed change of the members.
 func (g *group) reconfigure(e *consensus.Entry) error {
 	c, err := consensus.DecodeConfiguration(e.Data)
 	if err != nil {
--- a/control/grouproles.go
+++ b/control/grouproles.go
@@ -6,8 +6,8 @@
 	"celeryport/consensus"
 )
 
-// leads reports whether this voter leads and has applied an entry of its own
-// term, and which term that is.
+// leads reports whether this voter leads and has applied an entry of its own term, and
+// returns that term.
 func (g *group) leads() (bool, uint64) {
 	if g.node == nil {
 		return false, 0
@@ -16,7 +16,7 @@
 	return s.Role == consensus.Leader && g.appliedTerm == s.Term, s.Term
 }
 
-// leaseValid reports whether no other leader can have been elected by now.
+// leaseValid reports whether it is certain that no other leader has been elected by now.
 func (g *group) leaseValid(now time.Time) bool { return g.node != nil && g.node.HasLease(now) }
 
 // voters returns the voters of the configuration in force.
@@ -41,8 +41,8 @@
 	return ""
 }
 
-// handOver gives the leadership to the voter that has most of the log, before
-// this instance leaves.
+// handOver transfers the leadership to the voter with the most complete log, before this
+// instance stops.
 func (g *group) handOver(now time.Time) {
 	if g.node == nil {
 		return
@@ -55,6 +55,6 @@
 		}
 	}
 	if s.Role == consensus.Leader && best.ID != "" {
-		_ = g.node.TransferLeadership(now, best.ID) // refused: the others elect after this one is gone
+		_ = g.node.TransferLeadership(now, best.ID) // if refused, the others elect a leader after this instance has stopped
 	}
 }
--- a/control/groupstore.go
+++ b/control/groupstore.go
@@ -4,7 +4,7 @@
 	"celeryport/consensus"
 )
 
-// store syncs a batch.
+// store writes a batch to the log and syncs it.
 func (g *group) store(batch *consensus.Batch) error {
 	if batch.HardState != nil || len(batch.Entries) > 0 {
 		if err := g.log.Append(batch.HardState, batch.Entries); err != nil {
--- a/control/heal.go
+++ b/control/heal.go
@@ -9,17 +9,17 @@
 	"celeryport/event"
 )
 
-// healInterval is how often a leader looks whether the voters need a change. One
-// repair takes three changes, which have to be done well inside the four seconds
+// healInterval is the interval at which a leader checks whether the voters need a change.
+// One repair takes three changes, which must be completed well within the four seconds
 // after which the next instance may be lost.
 const healInterval = 200 * time.Millisecond
 
-// healPatience is how long a new leader waits for the instances to report to it
-// before it takes a voter for dead: above the longest hold of a sync (500 ms).
+// healDelay is how long a new leader waits for the instances to report before it considers
+// a voter dead. It exceeds the longest hold of a sync (500 ms).
 const healPatience = 700 * time.Millisecond
 
-// heal does the next step that the voters need, when the leader keeps them by
-// itself, and returns when to look again.
+// heal performs the next step that repairs the set of voters, if the leader maintains it
+// automatically, and returns when to check again.
 func (l *leader) heal(now time.Time) time.Time {
 	wanted := l.core.node.opts.Heal
 	if wanted == 0 {
@@ -48,7 +48,7 @@
 	return now
 }
 
-// noteRefusedRepair logs a refusal that does not pass by itself.
+// logRefusedRepair logs a refusal that is not transient.
 func (l *leader) noteRefusedRepair(err error) {
 	var refused *consensus.RefusedError
 	if errors.As(err, &refused) && passing(err) {
@@ -57,7 +57,7 @@
 	eventVoterRepairRefused.Log(l.core.log, event.Fields{"error": err})
 }
 
-// knownVoters tells what this leader knows of the data folders that may vote.
+// knownVoters returns this leader's knowledge of the data folders that may vote.
 func (l *leader) knownVoters(now time.Time) knownVoters {
 	known := knownVoters{
 		live:    []consensus.Member{{ID: l.core.group.id, Address: l.core.self.ControlAddress}},
--- a/control/hearing.go
+++ b/control/hearing.go
@@ -6,14 +6,15 @@
 	"celeryport/membership"
 )
 
-// HearingAddress returns the control address of the instance that should hear an
-// upstream from now on, empty if this one may go on hearing it.
+// HearingAddress returns the control address of the instance to which an upstream should
+// send its announcements, empty if it should keep sending them to this one.
 //
-// Each upstream announces itself every second. If the few voters hear hundreds of them
-// in person, their small processors have no time left to lead, and upstreams that
-// leave are not acknowledged. There are many more instances that forward calls: each
-// hears a few upstreams, and passes on what changes with its own syncs. Those of the
-// upstream's availability zone go first, so that no bytes cross to another one.
+// Each upstream announces itself every second. If a few voters received the announcements
+// of hundreds of upstreams, their small processors would have no time left to lead, and
+// leaving upstreams would not be acknowledged. There are many more instances that forward
+// requests: each receives the announcements of a few upstreams, and sends the changes with
+// its own syncs. Instances of the upstream's availability zone are preferred, which avoids
+// traffic between zones.
 func (n *Node) HearingAddress(name, availabilityZone string) string {
 	if !n.opts.Process.Voter || !n.opts.FanOut {
 		return ""
@@ -21,7 +22,7 @@
 	return hearingAddress(n.View().Instances, name, availabilityZone)
 }
 
-// usualNames is room for the names of an upstream and of an instance, in bytes.
+// nameBufferSize is the buffer size in bytes for the names of an upstream and an instance.
 const usualNames = 128
 
 func hearingAddress(instances []membership.Instance, name, availabilityZone string) string {
--- a/control/hearing_bench_test.go
+++ b/control/hearing_bench_test.go
@@ -7,8 +7,8 @@
 	"celeryport/membership"
 )
 
-// BenchmarkHearingAddress measures the choice of who hears an upstream, which a voter makes for
-// each announcement that comes to itself.
+// BenchmarkHearingAddress measures the choice of the instance that receives an upstream's
+// announcements, which a voter makes for each announcement sent to it.
 func BenchmarkHearingAddress(b *testing.B) {
 	var instances []membership.Instance
 	for i := range 300 {
--- a/control/incarnation.go
+++ b/control/incarnation.go
@@ -9,8 +9,8 @@
 	"celeryport/membership"
 )
 
-// renewIncarnation draws an incarnation above all known ones, and syncs it
-// before it is used.
+// renewIncarnation chooses an incarnation above all known ones, and syncs it before it is
+// used.
 func (c *core) renewIncarnation(known uint64) error {
 	folder := c.installed.folder
 	if folder.path != "" {
@@ -28,7 +28,7 @@
 	return folder.write(incarnationFile, data)
 }
 
-// loadIncarnation returns the last incarnation that was kept, 0 if none.
+// loadIncarnation returns the last stored incarnation, 0 if there is none.
 func loadIncarnation(folder dataFolder) (uint64, error) {
 	data, err := folder.read(incarnationFile)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/control/initialtree.go
+++ b/control/initialtree.go
@@ -9,11 +9,11 @@
 	"celeryport/control/state"
 )
 
-// initialOrderID is the order id of the tree of the process settings.
+// initialOrderID is the order ID of the initial settings tree.
 const initialOrderID = "initial"
 
-// readInitialTree reads the tree that the process settings name for a group that
-// never accepted one. A faulty one stops the start: nothing is applied half.
+// readInitialTree reads the tree that the process settings name for a group that has never
+// accepted one. A faulty tree prevents the start; no part of it is applied.
 func (c *core) readInitialTree() error {
 	path := c.node.opts.Process.Tree
 	if path == "" || !c.node.opts.Process.Voter {
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// applyInitialTree proposes that tree once, while no tree was ever accepted. Its
-// base is 0, so it loses against any operator's order that came before it.
+// applyInitialTree proposes the initial tree once, if no tree has ever been accepted. Its
+// base is 0, so it loses against any operator's order that was accepted before it.
 func (l *leader) applyInitialTree(now time.Time) {
 	if l.initialAsked || l.core.initialTree == nil || l.core.group.machine.Current().Number > 0 {
 		return
--- a/control/installed.go
+++ b/control/installed.go
@@ -9,13 +9,13 @@
 	"celeryport/settings"
 )
 
-// installed is the revision that this instance admits by. With a data folder it
-// is synced before it is used, so that a restart never goes back to a lower one.
+// installed is the revision by which this instance admits requests. With a data folder it
+// is synced before it is used, so that a restart never reverts to a lower revision.
 type installed struct {
 	folder dataFolder
 	parse  func(file string, text []byte) (*settings.Tree, error)
 	tree   *settings.Tree
-	text   []byte // of tree
+	text   []byte // text of tree
 }
 
 // installedRecord is the content of the file.
@@ -24,7 +24,7 @@
 	Text     []byte `json:"text"`
 }
 
-// revision returns the number of the installed revision, 0 if none.
+// revision returns the number of the installed revision, 0 if there is none.
 func (i *installed) revision() uint64 {
 	if i.tree == nil {
 		return 0
@@ -32,7 +32,7 @@
 	return i.tree.Revision
 }
 
-// load reads what was installed before the restart.
+// load reads the revision that was installed before the restart.
 func (i *installed) load() error {
 	if i.folder.path == "" {
 		return nil
@@ -51,9 +51,8 @@
 	return i.take(record.Revision, record.Text)
 }
 
-// install makes a newer revision the installed one. A revision that is not
-// newer is ignored: an old answer that arrives late must not revert the
-// settings.
+// install installs a newer revision. A revision that is not newer is ignored, because a
+// delayed response must not revert the settings.
 func (i *installed) install(revision uint64, text []byte) error {
 	if revision <= i.revision() {
 		return nil
--- a/control/installed_test.go
+++ b/control/installed_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestNoLowerRevisionIsInstalled(t *testing.T) {
-	// An answer of a former leader arrives late, or the process restarts while its
-	// voters are behind. A lower revision would bring back what was revoked.
+	// A response of a former leader arrives late, or the process restarts while its voters
+	// are behind. A lower revision would restore what was revoked.
 	folder := dataFolder{t.TempDir(), wal.OS{}}
 	before := installed{folder: folder, parse: settings.ParseTree}
 	if err := before.install(7, testTree(7)); err != nil {
@@ -28,8 +28,8 @@
 }
 
 func TestFaultySettingsAreNotInstalledInPart(t *testing.T) {
-	// An instance of an older version can't parse an accepted tree. It must keep
-	// the old one and show itself as outstanding, not admit by half of the new.
+	// An instance of an older version cannot parse an accepted tree. It must keep the old
+	// one and be listed as outstanding, and not admit requests by a part of the new tree.
 	i := installed{parse: settings.ParseTree}
 	if err := i.install(1, testTree(1)); err != nil {
 		t.Fatal(err)
--- a/control/issuer.go
+++ b/control/issuer.go
@@ -10,9 +10,9 @@
 	"celeryport/upstream"
 )
 
-// keepIssuer makes this leader the issuer of engine orders, once in each of its
-// terms, and publishes how long it may issue. Every leader passes through the
-// log to become the issuer, so the fencing number grows with each.
+// maintainIssuer makes this leader the issuer of engine orders, once in each of its terms,
+// and publishes how long it may issue them. Every leader becomes the issuer by an entry in
+// the log, so the fencing number grows with each.
 func (l *leader) keepIssuer(now time.Time) {
 	g := l.core.group
 	issuer := g.machine.Issuer()
@@ -41,12 +41,12 @@
 		At:     now.Round(0).UTC(),
 		Issuer: &state.TakeIssuer{Holder: l.core.self.Name, Incarnation: l.core.self.Incarnation},
 	}
-	// The result shows in the state; a proposal that is lost with the leadership
-	// needs no second one.
+	// The result appears in the state; a proposal that is lost together with the
+	// leadership need not be repeated.
 	l.core.group.propose(now, &command, make(chan proposalResult, 1))
 }
 
-// orderSource lets the driver of orders read the node.
+// orderSource gives the driver of orders access to the node.
 type orderSource struct {
 	node *Node
 }
@@ -73,10 +73,10 @@
 	})
 }
 
-// OrdersStatus answers CommandOrders.
+// OrdersStatus is the response to CommandOrders.
 type OrdersStatus struct {
 	Issuer  state.Issuer   `json:"issuer"`
-	Records []order.Record `json:"records"` // by this issuer, oldest first
+	Records []order.Record `json:"records"` // orders of this issuer, oldest first
 }
 
 // listOrders is the handler of CommandOrders.
--- a/control/leader.go
+++ b/control/leader.go
@@ -9,8 +9,8 @@
 	"celeryport/membership"
 )
 
-// leader is what a voter keeps only while it leads: the instances, the syncs
-// that it holds, and how far the accepted settings are in force.
+// leader is the state that a voter has only while it leads: the membership table, the
+// syncs that it holds, and which accepted settings are in force.
 type leader struct {
 	core         *core
 	epoch        string
@@ -18,19 +18,19 @@
 	table        *membership.Table
 	polls        []poll
 	allocation   *allocation
-	inForce      uint64 // newest revision known to be in force
+	inForce      uint64 // latest revision known to be in force
 	ids          map[string]consensus.ID
 	initialAsked bool
 	issuerAsked  bool
-	issuerAt     time.Time        // when this leader became the issuer
+	issuerAt     time.Time        // when this leader became the issuer of engine orders
 	inboxes      map[string]inbox // by instance
 	confirmed    confirmations
-	since        time.Time      // when this leader began
-	healAt       time.Time      // when to look at the voters again
-	evidence     *evidenceBatch // that gathers now; nil: none
+	since        time.Time      // when this leader began to lead
+	healAt       time.Time      // when to check the voters next
+	evidence     *evidenceBatch // batch being collected, nil if none
 }
 
-// poll is a sync whose answer is held until there is news.
+// poll is a sync whose response is held until there is a change.
 type poll struct {
 	request   *syncRequest
 	arrivedAt time.Time
@@ -38,9 +38,9 @@
 	due       time.Time
 	reply     chan<- *syncResponse
 
-	unknown    []string          // attached instances that must be stated whole
-	superseded map[string]uint64 // attached instances of which a higher incarnation is known
-	leaves     bool              // it may tell of an upstream that leaves, which the leader does not have yet
+	unknown    []string          // attached instances that must be stated in full
+	superseded map[string]uint64 // attached instances of which a higher incarnation is known, with that incarnation
+	leaves     bool              // it may announce a leaving upstream that the leader does not have yet
 }
 
 func newLeader(now time.Time, c *core, term uint64) *leader {
@@ -56,9 +56,9 @@
 	}
 }
 
-// followLeadership starts and ends the leader's part with the role of the voter.
-// A new leader counts as one only when it has applied an entry of its own term:
-// before that it may not know of changes that were accepted under the former.
+// followLeadership creates or removes the leader state according to the role of the voter.
+// A newly elected voter counts as leader only after it has applied an entry of its own
+// term: before that it may not know changes that were accepted under its predecessor.
 func (c *core) followLeadership(now time.Time) {
 	leads, term := false, uint64(0)
 	if c.group != nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// dismiss answers the held syncs when this voter leads no more.
+// redirectPolls answers the held syncs when this voter no longer leads.
 func (l *leader) dismiss() {
 	l.core.node.issuer.Store(nil)
 	for _, p := range l.polls {
@@ -85,7 +85,7 @@
 	l.polls = nil
 }
 
-// accept takes in a sync and answers it or holds it.
+// accept processes a sync and answers or holds it.
 func (l *leader) accept(now, arrivedAt time.Time, request *syncRequest, reply chan<- *syncResponse) {
 	if !l.complete(request) {
 		reply <- &syncResponse{Restate: true}
@@ -106,7 +106,7 @@
 	l.polls = append(l.polls, p)
 }
 
-// complete fills in what a brief statement leaves out.
+// resolveBrief fills in the fields that a brief statement omits.
 func (l *leader) complete(request *syncRequest) bool {
 	brief := request.Brief
 	if brief == nil {
@@ -120,7 +120,7 @@
 	return true
 }
 
-// step answers what is due and returns when to come back.
+// step answers the syncs that are due and returns when to call it again.
 func (l *leader) step(now time.Time) time.Time {
 	l.table.Expire(now)
 	l.noteInForce(now)
@@ -137,8 +137,8 @@
 	return next
 }
 
-// hasNews reports whether an instance must learn something at once. A voter that
-// others are attached to gets each batch of upstreams, since they hear of it later.
+// hasNews reports whether an instance must be answered at once. A voter with attached
+// instances gets every batch of upstreams, because these receive it with a further delay.
 func (l *leader) hasNews(p *poll) bool {
 	r, out := p.request, l.core.fanout
 	return r.Epoch != l.epoch || len(p.unknown) > 0 ||
@@ -149,8 +149,8 @@
 		len(r.Attached) > 0 && r.Upstreams < out.out.sender.Position()
 }
 
-// answer builds the answer to a sync, with a lease when this leader's own lease
-// shows that no other leader can have been elected meanwhile.
+// answer builds the response to a sync, with a lease if this leader's own lease proves
+// that no other leader can have been elected.
 func (l *leader) answer(now time.Time, p *poll) *syncResponse {
 	r := p.request
 	members, upstreams := r.Members, r.Upstreams
@@ -188,7 +188,7 @@
 	return response
 }
 
-// upstreamsSince encodes what an instance lacks.
+// upstreamsSince encodes the batches after a position.
 func (l *leader) upstreamsSince(now time.Time, position uint64) []byte {
 	delta, err := l.core.fanout.out.sender.Since(now, position)
 	if err != nil {
@@ -197,7 +197,7 @@
 	return delta
 }
 
-// noteInForce logs the moment when a revision is in force everywhere.
+// logInForce logs a revision when it is first seen in force on every instance.
 func (l *leader) noteInForce(now time.Time) {
 	current := l.core.group.machine.Current().Number
 	if current <= l.inForce || !l.table.InForce(now, current) {
--- a/control/lease.go
+++ b/control/lease.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// lease is the right of this instance to admit requests, measured on its own
-// monotonic clock.
+// lease is the right of this instance to admit requests. Times are on its own monotonic
+// clock.
 type lease struct {
 	until time.Time
-	held  bool // as of the last call of change
+	held  bool // as of the last call to change
 }
 
 type leaseChange uint8
@@ -17,19 +17,19 @@
 	leaseLost
 )
 
-// renew extends the lease that was granted in answer to a message sent at
-// sentAt. Counting from the sending and not from the arrival of the answer keeps
-// the holder's end before the granter's, however long the answer took.
+// renew extends the lease granted in the answer to a message sent at sentAt. The length
+// counts from the time of sending, not from the arrival of the answer, so the lease ends
+// for its holder before it ends for the granter, however long the answer took.
 func (l *lease) renew(sentAt time.Time, length time.Duration) {
 	if until := sentAt.Add(length); until.After(l.until) {
 		l.until = until
 	}
 }
 
-// drop gives the lease back.
+// drop ends the lease.
 func (l *lease) drop() { l.until = time.Time{} }
 
-// valid reports whether the lease is held.
+// valid reports whether the lease is held at now.
 func (l *lease) valid(now time.Time) bool { return now.Before(l.until) }
 
 // change reports whether the lease was gained or lost since the last call.
--- a/control/listing.go
+++ b/control/listing.go
@@ -8,7 +8,7 @@
 	"celeryport/upstream"
 )
 
-// InstancesStatus answers CommandInstances.
+// InstancesStatus is the response to CommandInstances.
 type InstancesStatus struct {
 	Leader    string                `json:"leader"` // control address
 	Instances []membership.Instance `json:"instances"`
@@ -28,15 +28,15 @@
 	return encode(status)
 }
 
-// UpstreamStatus is one upstream as the asked instance sees it.
+// UpstreamStatus describes an upstream as seen by the instance that was asked.
 type UpstreamStatus struct {
 	Announcement upstream.Announcement `json:"announcement"`
 	State        string                `json:"state"`
 	HeardAgoMs   int64                 `json:"heard_ago_ms"`
 }
 
-// listUpstreams is the handler of CommandUpstreams. It answers with what this
-// very instance sees, so that operators can compare instances.
+// listUpstreams is the handler of CommandUpstreams. It responds with this instance's own
+// view, so that operators can compare instances.
 func (n *Node) listUpstreams(_ context.Context, _ []byte) ([]byte, error) {
 	now := n.clock.Now()
 	snapshot := n.View().Upstreams
--- a/control/memberdelta.go
+++ b/control/memberdelta.go
@@ -9,16 +9,16 @@
 	"celeryport/pack"
 )
 
-// memberDelta is a list of instances for the wire: as it is, or packed where it goes to
-// many. When a fleet starts, all its instances are told of all others at once, and the
-// voters that tell them have small processors: the list is then encoded once, and a
-// tenth as many bytes are copied for each.
+// memberDelta is a list of instances for the wire, compressed if it is sent to many
+// receivers. When a fleet starts, each instance receives the list of all others at once
+// from voters with small processors: the list is then encoded only once, and a tenth of
+// the bytes are copied for each receiver.
 type memberDelta struct {
 	list   []membership.Instance
-	packed []byte // the list as packed JSON; nil: not packed
+	packed []byte // the list as compressed JSON; nil: not compressed
 }
 
-// packMembers returns a list that goes to many.
+// packMembers returns a compressed list.
 func packMembers(list []membership.Instance) (memberDelta, error) {
 	text, err := json.Marshal(list)
 	if err != nil {
@@ -28,10 +28,11 @@
 	return memberDelta{list: list, packed: packed}, err
 }
 
-// IsZero has an empty list left out.
+// IsZero reports whether the list is empty, in which case it is omitted from JSON.
 func (d memberDelta) IsZero() bool { return len(d.list) == 0 }
 
-// MarshalJSON implements json.Marshaler: an array, or a string where it is packed.
+// MarshalJSON implements json.Marshaler. The result is an array, or a string if the list
+// is compressed.
 func (d memberDelta) MarshalJSON() ([]byte, error) {
 	if d.packed != nil {
 		return json.Marshal(d.packed)
--- a/control/memberlist.go
+++ b/control/memberlist.go
@@ -10,30 +10,30 @@
 
 // memberList is an instance's copy of the leader's membership table.
 //
-// A new leader starts with an empty table and never hears of an instance that
-// died with its predecessor, the predecessor itself included. Such an instance
-// would be handed out to callers for ever. So once the new leader has led long
-// enough to know every instance that lives, those that it never named are gone.
+// A new leader starts with an empty table and never learns of an instance that died
+// together with its predecessor, or of the predecessor itself. Such an instance would be
+// given to callers forever. Therefore, once the new leader has led long enough to know
+// every live instance, those that it has never named are marked as gone.
 type memberList struct {
 	byName  map[string]listed
 	sorted  []membership.Instance // nil after a change
-	settled bool                  // the present leader knows every instance
+	settled bool                  // the current leader knows every live instance
 
-	revision uint64 // grows with each change that others must learn
+	revision uint64 // incremented with each change that others must learn
 }
 
-// listed is one instance of the list.
+// memberEntry is one instance of the list.
 type listed struct {
 	instance  membership.Instance
-	named     bool      // by the present leader
+	named     bool      // by the current leader
 	goneSince time.Time // zero: not gone
 	changed   uint64    // revision of the list at the last change that others must learn
 }
 
 func newMemberList() memberList { return memberList{byName: map[string]listed{}} }
 
-// follow begins to learn from another leader. What the former one said is kept
-// until then, since an empty list would leave callers without addresses.
+// startEpoch prepares for the updates of another leader. The instances named by the former
+// one are kept, because an empty list would leave callers without addresses.
 func (l *memberList) follow() {
 	l.settled = false
 	for name, entry := range l.byName {
@@ -42,7 +42,7 @@
 	}
 }
 
-// merge takes a delta.
+// merge applies a delta.
 func (l *memberList) merge(now time.Time, delta []membership.Instance) {
 	for _, i := range delta {
 		entry := l.byName[i.Name]
@@ -56,7 +56,7 @@
 	}
 }
 
-// assume takes in instances that are not known, as somebody knew them before.
+// addUnknown adds remembered instances that are not in the list yet.
 func (l *memberList) assume(now time.Time, instances []membership.Instance) {
 	for _, i := range instances {
 		if _, known := l.byName[i.Name]; !known {
@@ -69,8 +69,8 @@
 	}
 }
 
-// touch notes that an entry is about to change, unless only in its confirmed revision,
-// which others need not learn.
+// markChanged records that an entry is about to change, unless only its confirmed revision
+// changes, which others need not learn.
 func (l *memberList) touch(entry *listed, i membership.Instance) {
 	old := entry.instance
 	old.Revision = i.Revision
@@ -80,7 +80,7 @@
 	}
 }
 
-// changed returns the instances that changed after a revision of the list, by name.
+// changed returns the instances that changed after a revision of the list, sorted by name.
 func (l *memberList) changed(after uint64) []membership.Instance {
 	if after == l.revision {
 		return nil
@@ -105,7 +105,8 @@
 	}
 }
 
-// settle takes in that the present leader knows every instance.
+// settle records that the current leader knows every live instance, and marks those that
+// it has not named as gone.
 func (l *memberList) settle(now time.Time) {
 	if l.settled {
 		return
@@ -123,7 +124,7 @@
 	l.sorted = nil
 }
 
-// forget drops the instances that have been gone for long.
+// expire removes the instances that have been gone for longer than kept.
 func (l *memberList) forget(now time.Time, kept time.Duration) {
 	for name, entry := range l.byName {
 		if !entry.goneSince.IsZero() && now.Sub(entry.goneSince) > kept {
@@ -133,7 +134,7 @@
 	}
 }
 
-// list returns the instances by name. The slice is shared and never changed.
+// list returns the instances sorted by name. The slice is shared and must not be modified.
 func (l *memberList) list() []membership.Instance {
 	if l.sorted == nil {
 		l.sorted = make([]membership.Instance, 0, len(l.byName))
--- a/control/memberlist_test.go
+++ b/control/memberlist_test.go
@@ -38,9 +38,9 @@
 }
 
 func TestDeadLeaderIsNotHandedOut(t *testing.T) {
-	// The leader and an instance die in the same moment, with their rack. The new
-	// leader has never heard of either. If the others went on to hand them out,
-	// callers would connect to dead addresses for ever.
+	// The leader and an instance in the same rack die at the same time. The new leader has
+	// never received a sync of either. If the others continued to give out their
+	// addresses, callers would connect to dead instances forever.
 	t.Parallel()
 	f := newFleet(t, 3, 2)
 	first := f.apply(0, "a", testTree(1))
--- a/control/names_test.go
+++ b/control/names_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// shiftedClock is a machine's clock that is wrong by a fixed time.
+// shiftedClock is a system clock that is off by a fixed duration.
 type shiftedClock struct{ by time.Duration }
 
 func (c shiftedClock) Now() time.Time { return time.Now().Add(c.by) }
@@ -26,8 +26,8 @@
 }
 
 func TestTwoProcessesOfOneName(t *testing.T) {
-	// An instance is started a second time by mistake. If both counted as one,
-	// confirmations of the one would hide that the other admits by old settings.
+	// An instance is started a second time by mistake. If both counted as one instance,
+	// confirmations of the one would hide that the other admits requests by old settings.
 	t.Parallel()
 	f := newFleet(t, 3, 1)
 	first := f.apply(0, "a", testTree(1))
@@ -42,9 +42,9 @@
 }
 
 func TestRestartAfterTheClockWentBack(t *testing.T) {
-	// A machine without a disk restarts with its clock an hour behind. Its
-	// incarnation must still grow, or it would be taken for its dead former self
-	// and never admit again.
+	// A machine without a disk restarts with its clock an hour behind. Its incarnation
+	// must still increase: otherwise the instance would be taken for its former process
+	// and never admit requests again.
 	t.Parallel()
 	f := newFleet(t, 3, 1)
 	first := f.apply(0, "a", testTree(1))
--- a/control/network_test.go
+++ b/control/network_test.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// network connects the nodes of a fleet and can cut one off silently: what is
-// sent vanishes, and no connection breaks.
+// network connects the nodes of a fleet and can partition one silently: sent data is lost,
+// but no connection is closed.
 type network struct {
 	mu  sync.Mutex
-	off map[string]map[string]bool // control addresses that are cut off, and from whom they are not
+	off map[string]map[string]bool // partitioned control addresses, and for each those that it can still reach
 }
 
-// cut cuts an address off from all others but the friends.
+// cut partitions an address from all others except the friends.
 func (w *network) cut(address string, friends ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// cuttableConn loses what passes while its ends are cut off from each other.
+// cuttableConn drops data while its ends are partitioned from each other.
 type cuttableConn struct {
 	net.Conn
 	network  *network
--- a/control/node.go
+++ b/control/node.go
@@ -17,9 +17,9 @@
 	"celeryport/verdict"
 )
 
-// Node is the control side of one instance. It implements Plane and
-// Operations. One goroutine, started by Run, owns the core with all control
-// state; the others hand it tasks and read published views.
+// Node is the control side of an instance. It implements Plane and Operations. One
+// goroutine, started by Run, owns the core with all control state; other goroutines submit
+// tasks to it and read the published views.
 type Node struct {
 	opts       Options
 	log        logrus.FieldLogger
@@ -29,31 +29,31 @@
 	view       atomic.Pointer[View]
 	issuer     atomic.Pointer[order.Issuer] // nil unless this instance issues engine orders
 	orders     *order.Driver
-	claimVoter *claimVoter // nil on an instance that is no voter
+	claimVoter *claimVoter // nil on an instance that is not a voter
 	claimGroup atomic.Pointer[claimGroup]
 	wonClaims  wonClaims
 	kick       chan struct{}
-	messages   chan task // of consensus, which go before all other tasks
+	messages   chan task // consensus messages, which take precedence over other tasks
 	tasks      chan task
 	stopped    chan struct{} // closed when the control goroutine has ended
 	parsed     parsedText
 	refused    refusedAnnouncements
-	evidence   chan quarantine.Evidence // not yet gathered for a report
+	evidence   chan quarantine.Evidence // not yet gathered into a report
 	core       *core                    // owned by the control goroutine
 }
 
 // task is work for the control goroutine.
 type task func(now time.Time)
 
-// taskQueue bounds the tasks that wait for the control goroutine; above it the
-// senders wait, so that a stalled disk slows them and costs no memory.
+// taskQueue limits the tasks queued for the control goroutine. When it is full, senders
+// block, so a stalled disk slows them down without using memory.
 const taskQueue = 1024
 
-// messageQueue bounds the batches of consensus messages that wait. Consensus repeats
-// what is lost, so what comes above it is dropped.
+// messageQueue limits the queued batches of consensus messages. Consensus resends lost
+// messages, so excess ones are dropped.
 const messageQueue = 64
 
-// postMessages hands messages of consensus to the control goroutine without waiting.
+// postMessages submits consensus messages to the control goroutine without blocking.
 func (n *Node) postMessages(t task) {
 	select {
 	case n.messages <- t:
@@ -61,11 +61,11 @@
 	}
 }
 
-// errStopped ends calls on a node that does not run any more.
+// errStopped is returned by calls on a node that has stopped.
 var errStopped = verdict.Refuse(verdict.ReasonDraining, 0, "control has stopped")
 
-// New prepares a node: it opens the data folder and loads what was installed
-// before. Run starts it.
+// New creates a node: it opens the data folder and loads the installed settings. Run
+// starts it.
 func New(opts Options) (*Node, error) {
 	if opts.Process == nil || opts.Log == nil {
 		return nil, errors.New("control needs process settings and a log")
@@ -98,8 +98,8 @@
 // View implements Plane.
 func (n *Node) View() *View { return n.view.Load() }
 
-// Announce implements Plane. It does not wait: while the control goroutine is
-// stalled an announcement is dropped, and the next one comes within a second.
+// Announce implements Plane. It does not block: while the control goroutine is stalled,
+// announcements are dropped; upstreams repeat them every second.
 func (n *Node) Announce(a upstream.Announcement) {
 	if err := n.checkTargets(&a); err != nil {
 		n.RefuseAnnouncement(a.Name, err)
@@ -111,9 +111,9 @@
 	}
 }
 
-// AnnounceSurely hands in an announcement and returns when the leader has it, so
-// that what the upstream is told holds on every instance: of one that leaves,
-// the leader tells all the others at once.
+// AnnounceSurely submits an announcement and returns when the leader has it, so that the
+// acknowledgement to the upstream is valid for every instance: the leader forwards a
+// leaving upstream to all instances at once.
 func (n *Node) AnnounceSurely(ctx context.Context, a upstream.Announcement) error {
 	if err := n.do(ctx, func(now time.Time) { n.core.hear(now, a) }); err != nil {
 		return err
@@ -121,10 +121,11 @@
 	return n.passOn(ctx)
 }
 
-// Leave takes an incarnation of an upstream out of service on its own word, and
-// returns when the leader has told the others; upstream.Unstated means the one that is
-// known. One that is not known here is unknown everywhere, or will be heard of as
-// leaving from whoever knows it. A former start has nothing left to take away.
+// Leave takes an incarnation of an upstream out of service at the upstream's own request,
+// and returns when the leader has it; upstream.Unstated stands for the known incarnation.
+// An upstream that is not known here is either unknown everywhere, or will be received as
+// leaving from the instances that know it. A request for an earlier incarnation has no
+// effect.
 func (n *Node) Leave(ctx context.Context, name string, incarnation uint64) error {
 	var known upstream.Announcement
 	var found bool
@@ -146,11 +147,11 @@
 // Handle implements Operations.
 func (n *Node) Handle(command string, h Handler) { n.handlers[command] = h }
 
-// Traffic returns the counters of the calls that this node made to others.
+// Traffic returns the counters of the calls that this node made to other instances.
 func (n *Node) Traffic() *rpc.Stats { return n.clients.Stats() }
 
-// Drain implements Plane: it hands over the leadership if this instance holds it,
-// and tells the leader until one has taken it in.
+// Drain implements Plane. It hands over the leadership if this instance holds it, and
+// returns when a leader has acknowledged the draining.
 func (n *Node) Drain(ctx context.Context) error {
 	if err := n.do(ctx, func(now time.Time) { n.core.drain(now) }); err != nil {
 		return err
@@ -158,7 +159,7 @@
 	return n.passOn(ctx)
 }
 
-// do runs a task on the control goroutine and waits for its end.
+// do runs a task on the control goroutine and waits until it has finished.
 func (n *Node) do(ctx context.Context, t task) error {
 	done := make(chan struct{})
 	wrapped := func(now time.Time) {
@@ -176,7 +177,7 @@
 	}
 }
 
-// post hands a task to the control goroutine without waiting for its end.
+// post submits a task to the control goroutine without waiting until it has finished.
 func (n *Node) post(ctx context.Context, t task) error {
 	select {
 	case n.tasks <- t:
--- a/control/openfolder.go
+++ b/control/openfolder.go
@@ -10,7 +10,7 @@
 	"celeryport/control/state"
 )
 
-// openFolder reads what this instance kept and, on a voter, opens the log.
+// openFolder loads the stored state of this instance and, on a voter, opens the log.
 func (c *core) openFolder() error {
 	folder := c.installed.folder
 	if folder.path == "" {
@@ -28,8 +28,8 @@
 	return c.openGroup(folder)
 }
 
-// openGroup opens the log of a voter and starts consensus at once when the
-// folder has taken part before.
+// openGroup opens the log of a voter, and starts consensus at once if the data folder has
+// taken part before.
 func (c *core) openGroup(folder dataFolder) error {
 	log, stored, err := folder.openLog(c.node.opts.Process.Name, c.log)
 	if err != nil {
@@ -65,8 +65,8 @@
 	return s.HardState.Term > 0 || s.Snapshot.Index > 0 || len(s.Entries) > 0
 }
 
-// namedAsVoter reports whether the process settings name this instance among the
-// voters that found the group.
+// namedAsVoter reports whether the process settings name this instance among the voters
+// that found the group.
 func (n *Node) namedAsVoter() bool {
 	if !n.opts.Process.Found {
 		return false
@@ -79,7 +79,7 @@
 	return false
 }
 
-// keyLifetime is how long voters remember claims.
+// keyLifetime is how long voters keep claims.
 func (c *core) keyLifetime() time.Duration {
 	if c.installed.tree == nil || c.installed.tree.Fleet.KeyLifetime == 0 {
 		return claim.DefaultLifetime
--- a/control/operations.go
+++ b/control/operations.go
@@ -11,7 +11,7 @@
 	"celeryport/verdict"
 )
 
-// The operators' commands that control serves.
+// The operators' commands implemented by control.
 const (
 	CommandApply        = "settings.apply"
 	CommandShow         = "settings.show"
@@ -22,13 +22,13 @@
 	CommandOrders       = "order.list"
 )
 
-// operateTimeout bounds one operator's command on the instance.
+// operateTimeout limits the execution of an operator's command on the instance.
 const operateTimeout = 5 * time.Second
 
-// errNotLeader refuses what only the leader may answer.
+// errNotLeader rejects a command that only the leader can answer.
 var errNotLeader = verdict.Refuse(verdict.ReasonNotLeader, time.Second, "this instance does not lead the control group, and no leader is known")
 
-// errNoVoterHere answers voters' questions on an instance without a log.
+// errNotVoter rejects a request to a voter on an instance without a log.
 var errNoVoterHere = verdict.Refuse(verdict.ReasonNotFound, 0, "this instance is no voter")
 
 func (n *Node) registerCommands() {
@@ -63,10 +63,10 @@
 	return answer.Body, nil
 }
 
-// atLeader runs a handler on the leader: here, or at the instance that this one
-// takes for the leader. What comes from another instance is not passed on a
-// second time, so that two instances which each take the other for the leader
-// don't send a command round for ever.
+// atLeader returns a handler that runs h on the leader: here, or by forwarding to the
+// instance that this one believes to lead. A command received from another instance is not
+// forwarded again, so that two instances which each believe the other to lead do not
+// forward a command back and forth endlessly.
 func (n *Node) atLeader(command string, h Handler) Handler {
 	return func(ctx context.Context, body []byte) ([]byte, error) {
 		ctx, cancel := context.WithTimeout(ctx, operateTimeout)
@@ -90,8 +90,8 @@
 	}
 }
 
-// asLeader runs a task on the control goroutine while this voter leads with a
-// valid lease, so that what it reads includes all that was accepted before.
+// asLeader runs a task on the control goroutine if this voter leads with a valid lease, so
+// that the task reads everything accepted before.
 func (n *Node) asLeader(ctx context.Context, t func(now time.Time, l *leader)) error {
 	var refused error
 	err := n.do(ctx, func(now time.Time) {
--- a/control/options.go
+++ b/control/options.go
@@ -17,42 +17,42 @@
 	"celeryport/wal"
 )
 
-// Options configure a Node. Process and Log must be set.
+// Options configure a Node. Process and Log are required.
 type Options struct {
 	Process  *settings.Process
 	Log      logrus.FieldLogger
-	Clock    clock.Clock                                            // nil: the machine's
+	Clock    clock.Clock                                            // nil: the system clock
 	Listener net.Listener                                           // nil: listen on Process.ControlListen
 	Dial     rpc.Dial                                               // nil: TCP
-	Ledger   ledger.Store                                           // nil: copies are refused
-	Random   *rand.Rand                                             // nil: seeded from the machine
+	Ledger   ledger.Store                                           // nil: ledger copies are rejected
+	Random   *rand.Rand                                             // nil: randomly seeded
 	Parse    func(file string, text []byte) (*settings.Tree, error) // nil: settings.ParseTree
-	FS       wal.FS                                                 // nil: the machine's; tests make it fail
+	FS       wal.FS                                                 // nil: the operating system's; tests inject failures
 	Timing   Timing                                                 // zero: DefaultTiming
-	FanOut   bool                                                   // instances without a log sync with any voter, which passes on to the leader what they state
-	Heal     int                                                    // voters that the leader keeps by itself; 0: operators replace them
-	Extra    http.Handler                                           // answers paths at the control address that are not the instances' own; nil: none
-	ExtraAt  string                                                 // path prefix that Extra answers
+	FanOut   bool                                                   // instances without a log sync with any voter, which forwards their statements to the leader
+	Heal     int                                                    // number of voters that the leader maintains automatically; 0: operators replace them
+	Extra    http.Handler                                           // serves additional paths at the control address; nil: none
+	ExtraAt  string                                                 // path prefix served by Extra
 }
 
 // Timing holds the intervals of control.
 type Timing struct {
 	Consensus  consensus.Timing
 	Membership membership.Timing
-	Sync       time.Duration // longest hold of a sync by the leader, and so the interval of heartbeats
-	Call       time.Duration // timeout of one call between instances, above Sync
-	Search     time.Duration // timeout of asking all voters at once who leads
-	Stagger    time.Duration // after which an instance without settings asks one more voter
-	Look       time.Duration // pause of an instance without settings before it asks a silent voter again, and the first bound of a connection, doubled each time
-	Fresh      time.Duration // an upstream that was not heard for longer counts as silent, where the settings say nothing of it
+	Sync       time.Duration // longest time for which the leader holds a sync, and so the heartbeat interval
+	Call       time.Duration // timeout of one call between instances; greater than Sync
+	Search     time.Duration // timeout of asking all voters at once which of them leads
+	Stagger    time.Duration // time after which an instance without settings asks an additional voter
+	Look       time.Duration // pause before an instance without settings retries a voter, and the initial timeout of a connection, doubled with each attempt
+	Fresh      time.Duration // time after the last announcement at which an upstream counts as silent, unless the settings specify it
 	Retry      time.Duration // pause after a failed sync
-	Touch      time.Duration // a voter whose last sync worked so long ago hears no leader; above Sync
-	Leave      time.Duration // timeout of telling the leader that this instance ends
-	Compact    uint64        // applied entries between two snapshots of the log
+	Touch      time.Duration // time after the last successful sync at which a voter counts as out of contact with the leader; greater than Sync
+	Leave      time.Duration // timeout of notifying the leader when this instance stops
+	Compact    uint64        // number of applied entries between two snapshots of the log
 }
 
-// DefaultTiming returns the intervals in production. A change is in force within
-// Membership.Lease plus Margin of its commit even when an instance is cut off.
+// DefaultTiming returns the intervals for production. A change is in force within
+// Membership.Lease plus Margin of its commit even if an instance is partitioned.
 func DefaultTiming() Timing {
 	return Timing{
 		Consensus: consensus.Timing{
@@ -69,7 +69,7 @@
 		Call:    2 * time.Second,
 		Search:  500 * time.Millisecond,
 		Stagger: 100 * time.Millisecond,
-		Look:    25 * time.Millisecond, // a quarter of Retry; a connection within a region takes 1 to 2 ms
+		Look:    25 * time.Millisecond, // a quarter of Retry; connecting within a region takes 1 to 2 ms
 		Fresh:   3 * time.Second,
 		Retry:   100 * time.Millisecond,
 		Touch:   1200 * time.Millisecond,
@@ -78,7 +78,7 @@
 	}
 }
 
-// withDefaults fills what was left out.
+// withDefaults sets the options that are unset.
 func (o Options) withDefaults() Options {
 	if o.Clock == nil {
 		o.Clock = clock.Real{}
@@ -98,7 +98,7 @@
 	return o
 }
 
-// controlAddress is where other instances reach this one.
+// controlAddress is the address at which other instances reach this one.
 func (o *Options) controlAddress() string {
 	if o.Process.ControlAdvertise != "" {
 		return o.Process.ControlAdvertise
@@ -106,7 +106,7 @@
 	return o.Process.ControlListen
 }
 
-// trafficAddress is what callers are given.
+// trafficAddress is the address given to callers.
 func (o *Options) trafficAddress() string {
 	if o.Process.Advertise != "" {
 		return o.Process.Advertise
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -16,7 +16,7 @@
 	"celeryport/upstream/wire"
 )
 
-// testEngine is a stand-in engine on loopback.
+// testEngine is a simulated engine on loopback.
 type testEngine struct {
 	address  string
 	fencing  upstream.Fencing
@@ -39,7 +39,7 @@
 	return e
 }
 
-// state reads what the engine serves.
+// state fetches the state of the engine.
 func (e *testEngine) state(t *testing.T) wire.EngineState {
 	t.Helper()
 	_, body, err := fasthttp.GetTimeout(nil, "http://"+e.address+wire.PathState, 5*time.Second)
@@ -50,7 +50,7 @@
 	return state
 }
 
-// announce tells an instance of the engine.
+// announce sends an announcement of the engine to an instance.
 func (e *testEngine) announce(at *testNode) {
 	e.sequence++
 	at.node.Announce(upstream.Announcement{
@@ -60,9 +60,9 @@
 }
 
 func TestEnginesFollowTheSettings(t *testing.T) {
-	// The operator wishes a new version of a model and adapters. The leader dies
-	// right after, and the operator wishes the next version. Both kinds of engines
-	// must end with what is wished, and none may execute an order twice.
+	// The operator requests a new version of a model and adapters. The leader dies right
+	// afterwards, and the operator requests the next version. Both kinds of engines must
+	// reach the requested state, and none may execute an order twice.
 	t.Parallel()
 	f := newFleet(t, 3, 0)
 	engines := []*testEngine{startEngine(t, upstream.FencingChecked), startEngine(t, upstream.FencingIgnored)}
--- a/control/parse_beside_test.go
+++ b/control/parse_beside_test.go
@@ -11,15 +11,15 @@
 )
 
 func TestSettingsAreParsedBesideConsensus(t *testing.T) {
-	// A document of a thousand routes comes to a voter with a small processor. If the
-	// goroutine that answers heartbeats read it, the voter would be silent for longer than
-	// an election timeout, with each change of a series.
+	// A voter with a small processor gets a document of a thousand routes. If the
+	// goroutine that answers heartbeats parsed it, the voter would be unresponsive for
+	// longer than an election timeout with each change of a series.
 	entered, release := make(chan struct{}), make(chan struct{})
 	node, err := New(Options{
 		Process: &settings.Process{Name: "i", Listen: "127.0.0.1:1", ControlListen: "127.0.0.1:2"},
 		Log:     logrus.New(),
 		Parse: func(file string, text []byte) (*settings.Tree, error) {
-			close(entered) // parsed once: a second time panics
+			close(entered) // a second parse would panic
 			<-release
 			return settings.ParseTree(file, text)
 		},
--- a/control/parsed.go
+++ b/control/parsed.go
@@ -8,9 +8,9 @@
 	"celeryport/settings"
 )
 
-// parsedText parses settings texts, packed or not, and keeps the newest result: a
-// leader checks a text before it is accepted and installs it right after, and
-// reading one with many routes takes long on a small part of a processor.
+// parseCache parses settings texts, compressed or not, and caches the latest result: a
+// leader checks a text before it is accepted and installs it right afterwards, and parsing
+// a text with many routes is slow on a small share of a processor.
 type parsedText struct {
 	read   func(file string, text []byte) (*settings.Tree, error)
 	mu     sync.Mutex
@@ -18,8 +18,8 @@
 	tree   *settings.Tree
 }
 
-// parse returns the tree of a text. The caller gets a copy of its own, in which it
-// may set the revision.
+// parse returns the tree of a text. The returned tree is a shallow copy, in which the
+// caller may set the revision.
 func (p *parsedText) parse(file string, data []byte) (*settings.Tree, error) {
 	digest := state.Digest(data)
 	p.mu.Lock()
--- a/control/peer.go
+++ b/control/peer.go
@@ -8,15 +8,15 @@
 	"celeryport/rpc"
 )
 
-// peerQueue bounds the messages that wait for one peer. Consensus repeats what
-// is lost, so the newest are dropped when it is full.
+// peerQueue limits the messages queued for one peer. Consensus resends lost messages, so
+// new ones are dropped when the queue is full.
 const peerQueue = 256
 
-// peer sends consensus messages to one other member. What gathers while a call
-// is under way goes out in the next one.
+// peer sends consensus messages to one other member. Messages queued during a call are
+// sent in the next one.
 type peer struct {
 	address string
-	own     string // address of this instance, for the answers
+	own     string // address of this instance, to which the peer responds
 	clients *rpc.Clients
 	timeout time.Duration
 	queue   chan []byte
@@ -37,7 +37,7 @@
 	return p
 }
 
-// send queues a message without waiting.
+// send queues a message without blocking.
 func (p *peer) send(message []byte) {
 	select {
 	case p.queue <- message:
@@ -64,7 +64,7 @@
 	return messages
 }
 
-// call loses the messages when it fails; the protocol allows for that.
+// call sends messages. They are lost if it fails, which the protocol tolerates.
 func (p *peer) call(ctx context.Context, messages [][]byte) {
 	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
@@ -73,7 +73,7 @@
 
 func (p *peer) close() { p.cancel() }
 
-// dropPeers ends the senders to those that are no members any more.
+// dropPeers closes the senders to instances that are no longer members.
 func (g *group) dropPeers(c *consensus.Configuration) {
 	for id, p := range g.peers {
 		if !c.Voter(id) && !c.Learner(id) {
@@ -84,7 +84,8 @@
 	}
 }
 
-// sendAll hands the messages to the peers, after the sync that they promise.
+// sendAll queues the messages for the peers. The entries that they acknowledge must have
+// been synced before.
 func (g *group) sendAll(messages []consensus.Message) {
 	if len(messages) == 0 {
 		return
@@ -106,14 +107,14 @@
 	}
 	data, err := consensus.EncodeMessage(m)
 	if err != nil {
-		return // plain data: cannot fail
+		return // cannot fail for plain data
 	}
 	p.send(data)
 }
 
-// peerFor returns the sender to a member. One that the configuration does not
-// name, for instance the leader of a new learner, is reached at the address
-// where its messages said it is.
+// peerFor returns the sender to a member. A member that the configuration does not name,
+// for instance the leader as seen by a new learner, is reached at the address stated in
+// its messages.
 func (g *group) peerFor(id consensus.ID, address string) *peer {
 	if address == "" {
 		address = g.senders[id]
--- a/control/proposals.go
+++ b/control/proposals.go
@@ -7,8 +7,8 @@
 	"celeryport/verdict"
 )
 
-// proposals are the commands that this voter proposed as the leader and whose
-// fate is not known yet.
+// proposals are the commands that this voter proposed as leader and whose outcome is not
+// known yet.
 type proposals struct {
 	waiting map[uint64]proposal // by log index
 }
@@ -18,8 +18,8 @@
 	done chan<- proposalResult
 }
 
-// proposalResult is the fate of a proposal. An error says with its verdict
-// whether the command may have been executed.
+// proposalResult is the outcome of a proposal. The verdict of an error states whether the
+// command may have been executed.
 type proposalResult struct {
 	outcome state.Outcome
 	index   uint64
@@ -31,15 +31,15 @@
 		p.waiting = map[uint64]proposal{}
 	}
 	if old, found := p.waiting[index]; found {
-		// Of an earlier term of this leader: its place in this log is taken, but
-		// another voter may still hold the old entry and bring it through.
+		// The old proposal is from an earlier term of this leader. Its entry has been
+		// overwritten in this log, but another voter may still hold it and commit it.
 		old.done <- proposalResult{err: errOvertaken}
 	}
 	p.waiting[index] = proposal{term: term, done: done}
 }
 
-// committed ends the proposal at the index. When an entry of another term was
-// committed there, the proposal was replaced and can never be executed.
+// committed completes the proposal at the index. If an entry of another term was committed
+// there, the proposal was replaced and can never be executed.
 func (p *proposals) committed(index, term uint64, outcome state.Outcome) {
 	waiting, found := p.waiting[index]
 	if !found {
@@ -53,8 +53,8 @@
 	waiting.done <- proposalResult{outcome: outcome, index: index}
 }
 
-// overtaken ends the proposals that a snapshot covers: whether they are part of
-// it can't be seen from here.
+// completeCovered completes the proposals covered by a snapshot. Whether the snapshot
+// contains them is unknown, so their outcome is too.
 func (p *proposals) overtaken(index uint64) {
 	for at, waiting := range p.waiting {
 		if at <= index {
@@ -64,7 +64,7 @@
 	}
 }
 
-// abandon ends all proposals.
+// abandon fails all pending proposals.
 func (p *proposals) abandon(err error) {
 	for at, waiting := range p.waiting {
 		delete(p.waiting, at)
@@ -77,8 +77,8 @@
 	errOvertaken = verdict.New(verdict.MayHaveRun, verdict.ReasonNotLeader, "another leader took over; the outcome is unknown here")
 )
 
-// propose puts a command into the log; its fate arrives on the channel, which
-// needs room for one result.
+// propose appends a command to the log. The outcome is sent to done, which must have room
+// for one result.
 func (g *group) propose(now time.Time, command *state.Command, done chan<- proposalResult) {
 	if g.node == nil {
 		done <- proposalResult{err: verdict.Refuse(verdict.ReasonNotLeader, 0, "this voter does not take part")}
--- a/control/proposals_test.go
+++ b/control/proposals_test.go
@@ -7,8 +7,8 @@
 	"celeryport/verdict"
 )
 
-// A leader loses its place with proposals under way. An operator who is told
-// "not run" of a change that a later leader accepts would send it again.
+// A leader loses its role while proposals are pending. An operator who gets the verdict
+// "not run" for a change that a later leader accepts would send it again.
 func TestOnlyAProvedLossIsToldAsNotRun(t *testing.T) {
 	tests := []struct {
 		name    string
--- a/control/provisional.go
+++ b/control/provisional.go
@@ -6,21 +6,22 @@
 	"celeryport/event"
 )
 
-// provisional is what an instance that does not lead tells one that no leader has
-// taken in yet: the newest settings that it has applied, which were accepted and may
-// have been replaced since, and who is in the fleet. While there is no leader, serving
-// by them is better than serving nobody; the first leader that is found brings the
-// newest, and revisions only ever grow.
+// provisional is the response of a non-leading instance to one that no leader has accepted
+// yet. It contains the latest settings applied here, which were accepted once and may have
+// been replaced since, and the known fleet. While there is no leader, serving by them is
+// better than not serving; the first leader found sends the latest settings, and revisions
+// never decrease.
 type provisional struct {
 	Revision uint64      `json:"revision"`
 	Text     []byte      `json:"text,omitempty"` // empty for an instance that has settings
-	Fleet    fleetAnswer `json:"fleet,omitzero"` // empty for one that knows as many upstreams
+	Fleet    fleetAnswer `json:"fleet,omitzero"` // empty for an instance that knows as many upstreams
 }
 
-// provisionalFor answers an instance that no leader has taken in yet; nil if nothing is
-// known here that it lacks. A voter that has lost its disk gets settings from another
-// one and answers a moment before it has the fleet: an instance that asked it alone would
-// know no engine until there is a leader. So it asks on while others know more.
+// provisionalFor returns the provisional response to an instance that no leader has
+// accepted yet; nil if nothing known here would help it. A voter that has lost its disk
+// gets settings from another voter slightly before it gets the fleet: an instance that
+// asked only that voter would know no engines until there is a leader. Therefore an
+// instance continues to ask while other instances know more upstreams.
 func (c *core) provisionalFor(now time.Time, r *syncRequest) *provisional {
 	if !r.Bare && !r.Seeking {
 		return nil
@@ -38,7 +39,7 @@
 	return p
 }
 
-// newestText returns the newest settings that are known here, empty if there are none.
+// newestText returns the latest settings known here, empty if there are none.
 func (c *core) newestText() (uint64, []byte) {
 	switch {
 	case c.group != nil && c.group.machine.Current().Number > c.installed.revision():
@@ -50,8 +51,8 @@
 	}
 }
 
-// takeProvisional installs provisional settings, unless there are some already, and
-// takes in the fleet, unless a leader has told it.
+// applyProvisional installs provisional settings if none are installed, and adds the
+// fleet, unless a leader has accepted this instance.
 func (c *core) takeProvisional(now time.Time, p *provisional) {
 	if p == nil || c.accepted {
 		return
--- a/control/provisional_bench_test.go
+++ b/control/provisional_bench_test.go
@@ -10,8 +10,8 @@
 	"celeryport/upstream"
 )
 
-// BenchmarkProvisionalAnswer is what a voter that has just started spends on one instance
-// that knows nothing, with 100 instances and 1,000 upstreams remembered.
+// BenchmarkProvisionalAnswer measures the work of a voter that has just started for one
+// instance without any state, with 100 instances and 1,000 upstreams remembered.
 func BenchmarkProvisionalAnswer(b *testing.B) {
 	now := time.Unix(1_700_000_000, 0)
 	c := newTestCore(b)
--- a/control/provisional_test.go
+++ b/control/provisional_test.go
@@ -15,10 +15,10 @@
 )
 
 func TestServesBeforeThereIsALeader(t *testing.T) {
-	// All processes are killed at the same moment. Engines are still there, but
-	// until the voters have elected a leader nobody gives out settings or the names
-	// of engines, and every caller of these seconds is turned away. One voter that is
-	// back, without a majority, has to be enough to serve by what was known.
+	// All processes are killed at the same moment. The engines are still running, but
+	// until the voters have elected a leader no instance gets settings or the addresses of
+	// engines, and every caller during these seconds is rejected. A single restarted
+	// voter, without a majority, must be sufficient to serve by the last known state.
 	f := newFleet(t, 3, 0)
 	accepted := f.apply(0, "first", testTree(1))
 	f.awaitInstalled(accepted.Revision)
@@ -47,8 +47,8 @@
 }
 
 func TestProvisionalSettingsReplaceNothing(t *testing.T) {
-	// An answer of a voter that fell behind arrives late, at an instance that has
-	// newer settings by now. Callers must not be served by the older ones again.
+	// The response of a voter that is behind arrives late, at an instance that has newer
+	// settings by then. Callers must not be served by the older ones again.
 	c := newTestCore(t)
 	if err := c.installed.install(7, testTree(7)); err != nil {
 		t.Fatal(err)
@@ -60,9 +60,9 @@
 }
 
 func TestFleetIsTakenFromWhoeverKnowsMore(t *testing.T) {
-	// After a loss of power, an instance gets its settings from a voter that has lost its
-	// disk, got them itself a moment ago, and knows no engine. If the instance asks no
-	// further, its callers find no engine until there is a leader.
+	// After a power failure, an instance gets its settings from a voter that has lost its
+	// disk, has only just received them itself, and knows no engines. If the instance
+	// asked no other voter, its callers would find no engine until there is a leader.
 	now := time.Now()
 	fleet := remembered{Upstreams: []upstream.Announcement{
 		{Name: "e1", Incarnation: 1, Address: "10.0.0.1:1", Targets: []string{"sarto"}},
@@ -97,8 +97,8 @@
 }
 
 func TestRememberedInstancesAreDroppedWhenNobodyHearsThem(t *testing.T) {
-	// An instance was removed while all others were down. If what they remember of it
-	// stayed, callers would be sent to its address for ever.
+	// An instance was removed while all others were down. If their remembered entry of it
+	// were kept, callers would be sent to its address forever.
 	l := newMemberList()
 	now := time.Unix(1_700_000_000, 0)
 	l.assume(now, []membership.Instance{{Name: "removed", State: membership.Live}, {Name: "lives", State: membership.Live}})
@@ -111,7 +111,7 @@
 	}
 }
 
-// newTestCore returns the core of a node that does not run.
+// newTestCore returns the core of a node that is not running.
 func newTestCore(t testing.TB) *core {
 	t.Helper()
 	node, err := New(Options{
@@ -124,7 +124,7 @@
 	return node.core
 }
 
-// readJSON reads a file of a data folder.
+// readJSON decodes a file of a data folder.
 func readJSON(folder dataFolder, name string, into any) error {
 	data, err := folder.read(name)
 	if err != nil {
@@ -133,11 +133,11 @@
 	return json.Unmarshal(data, into)
 }
 
-// Guards against voters that spend all their time on telling the fleet to hundreds of
+// Guards against voters that spend all their time sending the fleet to hundreds of
 // instances that were killed at once.
 func TestFleetIsToldInFewBytes(t *testing.T) {
 	const upstreams = 1000
-	// A hundred instances are told within a second over a link of 20 Mbit/s.
+	// A hundred instances get it within a second over a link of 20 Mbit/s.
 	const mostBytes = 25_000
 	knows, asks := newTestCore(t), newTestCore(t)
 	now := time.Now()
--- a/control/publish.go
+++ b/control/publish.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// viewInterval is the shortest time between two views that differ only in the
-// load of upstreams. Each announcement would otherwise build a whole snapshot.
+// viewInterval is the shortest time between two views that differ only in the load of
+// upstreams. Otherwise each announcement would build a whole snapshot.
 const viewInterval = 250 * time.Millisecond
 
-// viewState says whether a new view is due.
+// viewState records whether a new view is due.
 type viewState struct {
 	urgent bool
 	late   bool
-	at     time.Time // of the last view
+	at     time.Time // time of the last view
 }
 
-// dirty asks for a new view at once.
+// dirty requests a new view at once.
 func (v *viewState) dirty() { v.urgent = true }
 
-// stale asks for a new view soon.
+// stale requests a new view within viewInterval.
 func (v *viewState) stale() { v.late = true }
 
-// publishIfDue builds a new view when one is due and returns when to look again.
+// publishIfDue publishes a new view if one is due and returns when to check again.
 func (c *core) publishIfDue(now time.Time) time.Time {
 	due := c.views.at.Add(viewInterval)
 	switch {
@@ -31,7 +31,7 @@
 	return now.Add(maxWait)
 }
 
-// publish replaces the view whole.
+// publish replaces the view.
 func (c *core) publish(now time.Time) {
 	c.views = viewState{at: now}
 	c.known.Expire(now)
--- a/control/quarantined.go
+++ b/control/quarantined.go
@@ -8,13 +8,13 @@
 	"celeryport/verdict"
 )
 
-// The operators' commands on requests that crash upstreams.
+// The operators' commands for quarantined requests.
 const (
 	CommandQuarantineList    = "quarantine.list"
 	CommandQuarantineRelease = "quarantine.release"
 )
 
-// QuarantineStatus answers CommandQuarantineList.
+// QuarantineStatus is the response to CommandQuarantineList.
 type QuarantineStatus struct {
 	Records []quarantine.Record `json:"records"` // by the time of the last evidence, oldest first
 }
@@ -36,8 +36,8 @@
 	return encode(status)
 }
 
-// releaseQuarantined is the handler of CommandQuarantineRelease: an operator vouches for a
-// request, and all evidence against it is dropped.
+// releaseQuarantined is the handler of CommandQuarantineRelease: an operator declares a
+// request harmless, and all evidence against it is removed.
 func (n *Node) releaseQuarantined(ctx context.Context, body []byte) ([]byte, error) {
 	request, err := decode[ReleaseRequest](body)
 	if err != nil {
--- a/control/race_test.go
+++ b/control/race_test.go
@@ -14,8 +14,8 @@
 	"celeryport/verdict"
 )
 
-// operatorAt sends one order through one node, and again until it knows the
-// outcome, as the command line does.
+// operatorAt sends an order through one node and repeats it until the outcome is known, as
+// the command line does.
 func (f *fleet) operatorAt(ctx context.Context, at int, request ApplyRequest) (state.Outcome, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -38,10 +38,10 @@
 }
 
 func TestRacingOperators(t *testing.T) {
-	// Four operators look at the same revision and change it at once, through
-	// different instances, and send their orders again whenever an answer is lost;
-	// meanwhile the leader is cut off. Of each base exactly one may win, and the
-	// losers must be shown the winner.
+	// Four operators read the same revision and change it at the same time through
+	// different instances, and resend their orders whenever an acknowledgement is lost;
+	// meanwhile the leader is partitioned. For each base revision exactly one order may
+	// win, and the losers must get the winner in their outcome.
 	t.Parallel()
 	const operators, rounds = 4, 6
 	f := newFleet(t, 3, 1)
--- a/control/reads.go
+++ b/control/reads.go
@@ -9,18 +9,18 @@
 	"celeryport/verdict"
 )
 
-// reads are the reads of the accepted state that wait until a majority has
+// reads are the pending reads of the accepted state, each waiting until a majority has
 // confirmed that this voter still leads.
 //
-// A lease is not enough for them: the clock of a suspended instance stands still,
-// so that it wakes with a lease that seems valid while another leader has
-// accepted changes. A round of messages after the question shows who leads.
+// A lease is not sufficient: the clock of a suspended machine stands still, so after
+// resuming its lease can seem valid although another leader has accepted changes. A round
+// of messages after the start of the read proves the leadership.
 type reads struct {
-	last    uint64 // context of the newest read
+	last    uint64 // context of the latest read
 	waiting map[uint64]chan<- struct{}
 }
 
-// startRead asks for a confirmation; confirmed is closed when it came.
+// startRead starts a read; confirmed is closed when a majority has confirmed it.
 func (g *group) startRead(now time.Time, confirmed chan<- struct{}) error {
 	g.reads.last++
 	if err := g.node.ReadIndex(now, g.reads.last); err != nil {
@@ -33,9 +33,9 @@
 	return nil
 }
 
-// confirmed ends the reads whose round a majority answered. All entries up to
-// their index are applied: a batch hands out committed entries before the reads
-// that depend on them.
+// confirmed completes the reads that a majority has confirmed. All entries up to their
+// index have been applied, because a batch returns committed entries before the reads that
+// depend on them.
 func (r *reads) confirmed(states []consensus.ReadState) {
 	for _, s := range states {
 		if waiting, found := r.waiting[s.Context]; found {
@@ -45,7 +45,7 @@
 	}
 }
 
-// forget drops a read that nobody waits for any more.
+// cancel removes a read whose caller has stopped waiting.
 func (r *reads) forget(confirmed chan<- struct{}) {
 	for context, waiting := range r.waiting {
 		if waiting == confirmed {
@@ -54,16 +54,16 @@
 	}
 }
 
-// errUnconfirmed ends a read that no majority confirmed in time.
+// errUnconfirmed is returned when no majority confirmed a read in time.
 var errUnconfirmed = verdict.Refuse(verdict.ReasonNoQuorum, time.Second, "no majority of the voters confirmed the read in time")
 
 // Accepted is the accepted revision and its text.
 type Accepted struct {
-	Revision state.Revision `json:"revision"` // its number is 0 before the first
+	Revision state.Revision `json:"revision"` // number 0 before the first accepted revision
 	Text     []byte         `json:"text"`
 }
 
-// readAccepted returns what is accepted, as of a moment after the call.
+// readAccepted returns the accepted revision as of a time after the call began.
 func (n *Node) readAccepted(ctx context.Context) (*Accepted, error) {
 	confirmed := make(chan struct{})
 	if err := n.whileLeading(ctx, func(now time.Time, g *group) error { return g.startRead(now, confirmed) }); err != nil {
@@ -74,7 +74,7 @@
 	case <-n.stopped:
 		return nil, errStopped
 	case <-ctx.Done():
-		_ = n.do(context.WithoutCancel(ctx), func(time.Time) { n.core.group.reads.forget(confirmed) }) // fails only when all ends
+		_ = n.do(context.WithoutCancel(ctx), func(time.Time) { n.core.group.reads.forget(confirmed) }) // fails only if the node has stopped
 		return nil, errUnconfirmed
 	}
 	var found Accepted
@@ -85,9 +85,9 @@
 	return &found, err
 }
 
-// whileLeading runs a task on the control goroutine if this voter leads. Unlike
-// asLeader it asks for no lease: what the task starts is confirmed by a majority
-// before it counts.
+// whileLeading runs a task on the control goroutine if this voter leads. Unlike asLeader
+// it requires no lease, because a majority confirms what the task starts before it takes
+// effect.
 func (n *Node) whileLeading(ctx context.Context, t func(now time.Time, g *group) error) error {
 	var refused error
 	err := n.do(ctx, func(now time.Time) {
--- a/control/refused.go
+++ b/control/refused.go
@@ -11,17 +11,17 @@
 	"celeryport/upstream"
 )
 
-// refusedAnnouncements counts what was announced and names no upstream to use.
+// refusedAnnouncements counts the announcements that name no usable upstream.
 type refusedAnnouncements struct {
 	count  atomic.Uint64
 	logged rate.Sometimes
 }
 
-// refusedLogInterval bounds the lines about refused announcements: a program that
-// writes nonsense may do so many times a second.
+// refusedLogInterval limits the rate of log lines about refused announcements: a faulty
+// program may send many a second.
 const refusedLogInterval = time.Second
 
-// RefuseAnnouncement notes that something was announced that names no upstream.
+// RefuseAnnouncement counts and logs an announcement that names no usable upstream.
 func (n *Node) RefuseAnnouncement(name string, cause error) {
 	total := n.refused.count.Add(1)
 	n.refused.logged.Do(func() {
@@ -29,16 +29,16 @@
 	})
 }
 
-// RefusedAnnouncements returns how many announcements named no upstream to use.
+// RefusedAnnouncements returns the number of announcements that named no usable upstream.
 func (n *Node) RefusedAnnouncements() uint64 { return n.refused.count.Load() }
 
-// checkTargets refuses an upstream of services that the settings don't name. An
-// engine's record would be replaced by one under its name that nobody can use, and it
-// would get no calls until it is heard again.
+// checkTargets rejects an upstream of services that the settings do not name. It could
+// replace the record of an engine of the same name, which would then get no requests until
+// its next announcement.
 func (n *Node) checkTargets(a *upstream.Announcement) error {
 	view := n.View()
 	if view.Tree == nil || view.Tree.Forwarding == nil {
-		return nil // nothing is known yet to check by
+		return nil // no settings yet to check against
 	}
 	for _, target := range a.Targets {
 		if view.Tree.Forwarding.Service(target) == nil {
--- a/control/relaying.go
+++ b/control/relaying.go
@@ -7,43 +7,43 @@
 	"celeryport/upstream"
 )
 
-// relayInterval is the shortest time between two batches of a leader. What
-// changes more often goes out once.
+// relayInterval is the shortest time between two batches of a leader. Several changes of
+// an upstream within it are sent as one.
 const relayInterval = 250 * time.Millisecond
 
-// outbox turns the news of a registry into batches for others.
+// outbox turns the changes of a registry into batches for other instances.
 type outbox struct {
 	registry *upstream.Registry
 	sender   *relay.Sender
-	version  uint64    // of the registry at the last batch
-	at       time.Time // of the last batch
+	version  uint64    // version of the registry at the last batch
+	at       time.Time // time of the last batch
 }
 
 func newOutbox(registry *upstream.Registry) outbox {
 	return outbox{registry: registry, sender: relay.NewSender()}
 }
 
-// gather makes a batch of what changed since the last one.
+// gather adds a batch of the changes since the last one.
 func (o *outbox) gather(now time.Time) error {
 	changes, version := o.registry.ChangesSince(now, o.version)
 	o.version, o.at = version, now
 	return o.sender.Add(now, changes)
 }
 
-// due reports whether there is news for a batch at now.
+// due reports whether there are changes and a batch may be sent at now.
 func (o *outbox) due(now time.Time) bool {
 	return o.registry.Version() != o.version && now.Sub(o.at) >= relayInterval
 }
 
-// inbox is what a leader receives from one incarnation of an instance.
+// inbox receives the batches of one incarnation of an instance.
 type inbox struct {
 	incarnation uint64
 	receiver    *relay.Receiver
 }
 
-// takeInbox takes in what an instance heard of upstreams and returns the position up
-// to which it is known here. A gap, for instance after a message was lost, is answered
-// by position 0, at which the instance sends everything again.
+// receiveInbox applies the announcements sent by an instance and returns the position up
+// to which they are known here. After a gap, for instance because a message was lost, the
+// position is 0, upon which the instance sends everything again.
 func takeInbox(inboxes map[string]inbox, now time.Time, p *poll) (relayed []upstream.Relayed, position uint64) {
 	i := &p.request.Instance
 	box := inboxes[i.Name]
@@ -58,8 +58,8 @@
 	return relayed, box.receiver.Position()
 }
 
-// takeHeard takes in what an instance heard and returns the position up to which
-// the leader has it.
+// receiveHeard applies the announcements sent by an instance and returns the position up
+// to which the leader has them.
 func (l *leader) takeHeard(now time.Time, p *poll) uint64 {
 	relayed, position := takeInbox(l.inboxes, now, p)
 	for _, r := range relayed {
@@ -71,9 +71,8 @@
 	return position
 }
 
-// takeUpstreams takes in what the leader heard of upstreams. The delta was on its
-// way for at most the time of the whole call without the time that the leader
-// held it.
+// applyUpstreams applies the announcements sent by the leader. The delta was in transit
+// for at most the duration of the call minus the time for which the leader held it.
 func (c *core) takeUpstreams(now, sentAt time.Time, r *syncResponse) {
 	way := max(0, now.Sub(sentAt)-time.Duration(r.HeldMs)*time.Millisecond)
 	relayed, err := c.received.Take(r.upstreams, way)
--- a/control/remembered.go
+++ b/control/remembered.go
@@ -15,23 +15,23 @@
 	"celeryport/upstream"
 )
 
-// rememberedFile holds what an instance knew of the fleet before a restart.
+// rememberedFile holds the fleet as an instance knew it before a restart.
 const rememberedFile = "fleet"
 
-// rememberInterval is how often an instance looks whether the fleet has changed
-// since it wrote the file.
+// rememberInterval is the interval at which an instance checks whether the fleet has
+// changed since it wrote the file.
 const rememberInterval = time.Second
 
-// remembered is who was in the fleet. When all instances are killed at once, the
-// ones with a disk tell it to the others until there is a leader: without it no
-// call could be served for some seconds, although all engines are there.
+// remembered is the last known fleet. When all instances are killed at once, those with a
+// disk send it to the others until there is a leader: without it no request could be
+// served for some seconds, although all engines are running.
 type remembered struct {
 	Instances []membership.Instance   `json:"instances"`
 	Upstreams []upstream.Announcement `json:"upstreams"`
 }
 
-// runRemember writes the file whenever the fleet has changed, beside the control
-// goroutine, which must not wait for one more sync of the disk.
+// runRemember writes the file whenever the fleet has changed. It runs outside the control
+// goroutine, which must not wait for another disk sync.
 func (n *Node) runRemember(ctx context.Context) error {
 	folder := n.core.installed.folder
 	if folder.path == "" {
@@ -59,7 +59,7 @@
 	return ctx.Err()
 }
 
-// rememberedOf leaves out what changes all the time.
+// rememberedOf returns the fleet of a view without the fields that change all the time.
 func rememberedOf(v *View) remembered {
 	var r remembered
 	for _, i := range v.Instances {
@@ -78,8 +78,8 @@
 	return r
 }
 
-// recall takes in what was remembered before a restart. Upstreams count as silent
-// until they are heard; a leader that does not hear of an instance drops it.
+// loadRemembered loads the fleet from before a restart. Upstreams count as silent until
+// they announce themselves; a leader drops instances that do not sync with it.
 func (c *core) recall(now time.Time) error {
 	folder := c.installed.folder
 	if folder.path == "" {
--- a/control/reopen.go
+++ b/control/reopen.go
@@ -10,12 +10,12 @@
 	"celeryport/event"
 )
 
-// reopenInterval is the pause between two tries to use a data folder again. A
-// disk that was full for seconds must not cost the group a voter for good: the
-// next loss would then take the majority.
+// reopenInterval is the pause between two attempts to reopen a data folder. A disk that
+// was full for some seconds must not cost the group a voter permanently: the next loss
+// would then take the majority.
 const reopenInterval = 500 * time.Millisecond
 
-// reopenIfDue opens a folder that failed, when the pause is over.
+// reopenIfDue reopens a failed data folder when the pause is over.
 func (g *group) reopenIfDue(now time.Time) (time.Time, error) {
 	if g.failed == nil {
 		return now.Add(farAway), nil
@@ -31,9 +31,9 @@
 	return now, nil
 }
 
-// reopen reads the folder as after a restart of the process and writes all of it
-// to new files. What was read may never have reached the disk: only the sync of
-// the new files makes it something that this voter may vote by.
+// reopen reads the folder as after a restart of the process and rewrites all of it to new
+// files. What was read may never have reached the disk, so this voter must not vote by it
+// before the new files have been synced.
 func (g *group) reopen() error {
 	if err := g.log.Close(); err != nil && !errors.Is(err, g.failed) {
 		eventStorageFailed.Log(g.core.log, event.Fields{"error": err, "folder": g.core.installed.folder.path})
--- a/control/repair.go
+++ b/control/repair.go
@@ -2,13 +2,13 @@
 
 import "celeryport/consensus"
 
-// knownVoters is what a leader knows of the data folders that may vote.
+// knownVoters is a leader's knowledge of the data folders that may vote.
 type knownVoters struct {
-	live    []consensus.Member // of the instances that report to it
-	settled bool               // it has led long enough to have heard of all that live
+	live    []consensus.Member // members whose instances report to the leader
+	settled bool               // the leader has led long enough to know every live instance
 }
 
-// alive reports whether the folder is in use.
+// alive reports whether a live instance uses the data folder.
 func (k *knownVoters) alive(id consensus.ID) bool {
 	for _, m := range k.live {
 		if m.ID == id {
@@ -18,8 +18,8 @@
 	return false
 }
 
-// dead reports whether a member is surely not there: its address has another
-// folder now, or it did not report although the leader waited long enough.
+// dead reports whether a member is certainly gone: its address has another data folder
+// now, or it has not reported although the leader waited long enough.
 func (k *knownVoters) dead(m consensus.Member) bool {
 	if k.alive(m.ID) {
 		return false
@@ -32,15 +32,13 @@
 	return k.settled
 }
 
-// repair returns the next configuration on the way from the present one to the
-// wanted number of live voters, and what the step does; an empty text says that
-// nothing is to be done.
+// repair returns the next configuration on the way to the wanted number of live voters,
+// and a description of the step, empty if there is nothing to do.
 //
-// An instance whose disk was lost, or that replaces one which is gone for good,
-// has a data folder that is no member. It becomes a learner, then a voter, and
-// only after that a dead voter leaves, so that an accepted change is never on
-// fewer disks than before. A dead voter for which there is no other stays: its
-// disk may come back.
+// An instance that lost its disk, or that replaces one that is gone for good, has a data
+// folder that is not a member. It becomes a learner, then a voter, and only then is a dead
+// voter removed, so that an accepted change is never stored on fewer disks than before. A
+// dead voter without a replacement is kept: its disk may come back.
 func repair(c *consensus.Configuration, known knownVoters, wanted int) (consensus.Configuration, string) {
 	next := consensus.Configuration{
 		Voters:   append([]consensus.Member(nil), c.Voters...),
--- a/control/repair_test.go
+++ b/control/repair_test.go
@@ -21,10 +21,10 @@
 }
 
 func TestRepairDoesOneSafeStepAfterTheOther(t *testing.T) {
-	// A voter loses its disk or is replaced, and the leader repairs the group by
-	// itself. A step in the wrong order, for instance the removal of the dead voter
-	// before its successor has the log, would leave an accepted change on too few
-	// disks when the next machine is lost.
+	// A voter loses its disk or is replaced, and the leader repairs the group
+	// automatically. Steps in the wrong order, for instance the removal of the dead voter
+	// before its successor has the log, would leave an accepted change on too few disks
+	// when the next machine is lost.
 	reborn := consensus.Member{ID: "b2", Address: member("b").Address}
 	tests := []struct {
 		name     string
@@ -59,9 +59,9 @@
 }
 
 func TestLostDiskHealsByItself(t *testing.T) {
-	// A voter comes back with an empty disk. Nobody is there to replace it by hand,
-	// and before the next machine is lost it has to be a voter again, under a new
-	// identity and with all that was accepted.
+	// A voter restarts with an empty disk and is not replaced by hand. Before the next
+	// machine is lost it must be a voter again, under a new ID and with everything that
+	// was accepted.
 	f := newHealingFleet(t, 3)
 	f.putDocument(f.members[0], 1, testTree(1))
 	lost := f.members[0]
@@ -83,8 +83,9 @@
 	}
 }
 
-// votersApplied reports whether a node has applied a change to three voters
-// without the lost one. What the leader has only proposed may be gone with it.
+// votersApplied reports whether a node has applied a change to three voters that do not
+// include the lost one. A change that the leader has only proposed may still be lost with
+// it.
 func votersApplied(t *testing.T, m *testNode, lost consensus.ID) bool {
 	t.Helper()
 	var voters []consensus.ID
--- a/control/replace_test.go
+++ b/control/replace_test.go
@@ -8,7 +8,7 @@
 	"celeryport/control/state"
 )
 
-// join starts one more instance that may become a voter.
+// join starts an additional instance that may become a voter.
 func (f *fleet) join() *testNode {
 	f.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -18,7 +18,7 @@
 	return f.add(len(f.members), true, listener)
 }
 
-// voterID returns the ID of the voter that an instance is.
+// voterID returns the voter ID of an instance.
 func (f *fleet) voterID(n *testNode) consensus.ID {
 	f.t.Helper()
 	var status VotersStatus
@@ -32,7 +32,7 @@
 	return ""
 }
 
-// awaitReplaced replaces a voter, sending the command until it is through.
+// awaitReplaced replaces a voter, repeating the command until it succeeds.
 func (f *fleet) awaitReplaced(old consensus.ID, by *testNode) {
 	f.t.Helper()
 	var status VotersStatus
@@ -45,9 +45,9 @@
 }
 
 func TestSecondLossRightAfterARepair(t *testing.T) {
-	// A voter dies for good and is replaced, and right after that a second one
-	// dies. The replacement must hold every accepted change by then, or the
-	// operators' last orders are gone.
+	// A voter is lost for good and replaced, and right afterwards a second one is lost.
+	// The replacement must have every accepted change by then; otherwise the operators'
+	// last orders are lost.
 	t.Parallel()
 	f := newFleetWith(t, 3, 0, func(timing *Timing) { timing.Compact = 8 })
 	base := uint64(0)
@@ -71,9 +71,9 @@
 }
 
 func TestLostDiskDoesNotVoteAsBefore(t *testing.T) {
-	// A voter loses its disk and starts again with the settings of its first day.
-	// If it took part as its old self, its forgotten votes and entries could elect
-	// a leader without an accepted change.
+	// A voter loses its disk and restarts with its original settings. If it took part
+	// under its old identity, its lost votes and entries could help to elect a leader
+	// without an accepted change.
 	t.Parallel()
 	f := newFleet(t, 3, 0)
 	first := f.apply(0, "a", testTree(1))
@@ -102,8 +102,8 @@
 }
 
 func TestLeaderIsReplaced(t *testing.T) {
-	// The operator replaces the very voter that leads, for instance because its
-	// machine is to be switched off. The command must hand over first.
+	// The operator replaces the voter that currently leads, for instance because its
+	// machine is to be switched off. The command must transfer the leadership first.
 	t.Parallel()
 	f := newFleet(t, 3, 0)
 	first := f.apply(0, "a", testTree(1))
--- a/control/restart_test.go
+++ b/control/restart_test.go
@@ -7,7 +7,8 @@
 	"celeryport/upstream"
 )
 
-// knows reports whether a node has an incarnation of an upstream in a state.
+// knows reports whether a node has the given incarnation of an upstream in the given
+// state.
 func (n *testNode) knows(name string, incarnation uint64, state upstream.State) bool {
 	for _, u := range n.node.View().Upstreams.Upstreams {
 		if u.Announcement.Name == name {
@@ -30,10 +31,10 @@
 }
 
 func TestRestartUnderTheOldNameReachesEveryInstance(t *testing.T) {
-	// An engine that drained starts again under its old id and counts its messages from
-	// one. Messages of the former start, a late heartbeat and its last word, arrive
-	// afterwards. If one of them holds, the engine gets no calls for as long as it
-	// lives.
+	// An engine that drained restarts under its old ID and numbers its messages from one
+	// again. Messages of the former process, a delayed heartbeat and its leaving
+	// announcement, arrive afterwards. If one of them were accepted, the engine would get
+	// no requests for the rest of its life.
 	t.Parallel()
 	f := newFleet(t, 3, 1)
 	first := f.apply(0, "a", testTree(1))
@@ -64,8 +65,8 @@
 }
 
 func TestStrangeAnnouncementsAreCounted(t *testing.T) {
-	// Another program announces things that are no engines, many times a second. An
-	// operator must see that, and the log must not fill with it.
+	// Another program sends announcements that are no valid engines, many times a second.
+	// Operators must see that, and the log must not fill up with it.
 	t.Parallel()
 	f := newFleet(t, 1, 0)
 	for range 50 {
--- a/control/run.go
+++ b/control/run.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	leaveAttempts  = 2 // the second after a redirection
+	leaveAttempts  = 2 // the second one after a redirect
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = time.Minute
 	maxHeaderBytes = 16 << 10
 	maxWait        = time.Second // longest sleep of the control goroutine
 )
 
-// Run serves the control address and drives the node until ctx ends, or until
-// the data folder of a voter fails.
+// Run serves the control address and drives the node until ctx is done or a component
+// fails.
 func (n *Node) Run(outer context.Context) error {
 	listener, err := n.listen()
 	if err != nil {
@@ -84,8 +84,8 @@
 	}
 }
 
-// withExtra gives the paths of Options.Extra to it and all others to the calls
-// between instances.
+// withExtra routes the paths of Options.Extra to it and all others to the calls between
+// instances.
 func (n *Node) withExtra(own http.Handler) http.Handler {
 	if n.opts.Extra == nil {
 		return own
@@ -108,8 +108,8 @@
 	return errors.Wrap(err, "serve the control address")
 }
 
-// shutdown ends the open calls. Long polls are held by the leader at most for
-// Timing.Sync, so that the bound of twice Timing.Leave is seldom reached.
+// shutdown waits for the open calls to end. The leader holds long polls for at most
+// Timing.Sync, so the limit of twice Timing.Leave is rarely reached.
 func (n *Node) shutdown(server *http.Server) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*n.opts.Timing.Leave)
 	defer cancel()
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// leave tells the leader that this instance admits nothing any more, so that
-// nobody waits for its lease. If the message is lost, the lease lapses.
+// leave notifies the leader that this instance no longer admits requests, so that nobody
+// waits for its lease. If the message is lost, the lease expires.
 func (n *Node) leave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, n.opts.Timing.Leave)
 	defer cancel()
@@ -134,7 +134,7 @@
 	}
 }
 
-// loop is the control goroutine: the only one that touches the core.
+// loop is the control goroutine, the only one that uses the core.
 func (n *Node) loop(ctx context.Context) error {
 	defer close(n.stopped)
 	defer n.core.close()
@@ -161,13 +161,13 @@
 	}
 }
 
-// tasksAtOnce bounds the tasks between two looks at consensus. One sync of the log
-// covers what they propose, and a heartbeat waits for so many of them at most: behind
-// all that a fleet sends when it starts, it would be late for longer than an election
-// timeout, and the group would change its leader without need.
+// tasksPerStep limits the tasks run between two steps of consensus. One sync of the log
+// covers everything they propose. A heartbeat waits for at most this many tasks: queued
+// behind all messages that a fleet sends when it starts, it would be delayed by more than
+// an election timeout, and the group would change its leader needlessly.
 const tasksAtOnce = 16
 
-// drainTasks runs more of what waits.
+// drainTasks runs further queued tasks.
 func (n *Node) drainTasks() {
 	for range min(tasksAtOnce, len(n.tasks)) {
 		if len(n.messages) > 0 {
@@ -178,7 +178,7 @@
 	}
 }
 
-// drainMessages runs all messages of consensus that wait.
+// drainMessages runs all queued consensus messages.
 func (n *Node) drainMessages() {
 	for range len(n.messages) {
 		t := <-n.messages
--- a/control/run_test.go
+++ b/control/run_test.go
@@ -11,9 +11,9 @@
 )
 
 func TestConsensusGoesBeforeWhatAFleetSends(t *testing.T) {
-	// A fleet starts and hundreds of syncs wait at a voter with a small processor. A
-	// heartbeat of the leader comes behind them. If it waits for all of them, the voter
-	// takes the leader for dead and has a new one elected, and so on.
+	// A fleet starts and hundreds of syncs are queued at a voter with a small processor,
+	// with a heartbeat of the leader behind them. If the heartbeat waited for all of them,
+	// the voter would consider the leader dead and start an election, repeatedly.
 	node, err := New(Options{
 		Process: &settings.Process{Name: "i", Listen: "127.0.0.1:1", ControlListen: "127.0.0.1:2"},
 		Log:     logrus.New(),
--- a/control/search.go
+++ b/control/search.go
@@ -12,7 +12,7 @@
 	"celeryport/rpc"
 )
 
-// searchAnswer is what one voter said to an instance that knows no leader.
+// searchAnswer is the answer of one voter to an instance that knows no leader.
 type searchAnswer struct {
 	target   string
 	sentAt   time.Time
@@ -21,7 +21,8 @@
 	request  *syncRequest
 }
 
-// fruitless reports whether the answer names no leader and brings nothing.
+// isEmpty reports whether the answer is an error, or names no leader and provides no
+// settings.
 func (a *searchAnswer) fruitless(bare bool) bool {
 	switch {
 	case a.err != nil:
@@ -33,7 +34,7 @@
 	}
 }
 
-// askFirst tells which voters are asked at once and which later.
+// initialTargets divides the voters into those to ask at once and those to ask later.
 func (n *Node) askFirst(voters []string, request *syncRequest) (first, rest []string) {
 	switch {
 	case request.Attach:
@@ -46,20 +47,20 @@
 	}
 }
 
-// rotated returns a list from a place on that differs with the name.
+// rotated returns the list rotated by an offset derived from the name.
 func rotated(list []string, name string) []string {
 	at := int(xxhash.Sum64String(name) % uint64(len(list)))
 	return append(slices.Clone(list[at:]), list[:at]...)
 }
 
-// search asks all known voters at once, so that the instance finds a new leader as
-// soon as there is one. Asked one after the other, a voter without power costs a
-// whole timeout each time, and the others still name it as the leader: instances
-// then stayed on old settings for three seconds after a new leader was there.
+// search asks all known voters at once, so that the instance finds a new leader as soon as
+// there is one. If voters were asked in sequence, each one without power would cost a
+// whole timeout, while the others still name it as the leader: instances then kept old
+// settings for three seconds after a new leader had been elected.
 //
-// An instance without settings starts with one voter, and asks another one whenever an
-// answer brings nothing or is late. After a restart of the whole fleet all of them ask
-// for all settings, and a voter that every one of them asks is busy for long.
+// An instance without settings starts with one voter and asks another whenever an answer
+// is empty or late. After a restart of the whole fleet all instances request all settings,
+// and answering every instance would keep each voter busy for a long time.
 func (n *Node) search(ctx context.Context, request *syncRequest) error {
 	var addresses []string
 	var defunct bool
@@ -81,7 +82,7 @@
 	}
 	asking, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
-	answers := make(chan searchAnswer, 2*len(addresses)) // room for one redirection each
+	answers := make(chan searchAnswer, 2*len(addresses)) // includes one redirect for each
 	asked := map[string]bool{}
 	var heard atomic.Bool
 	ask := func(target string) {
@@ -94,7 +95,7 @@
 	}
 	next := time.NewTimer(stagger)
 	defer next.Stop()
-	var unhelpful *searchAnswer // of the first voter that answered and had nothing to give
+	var unhelpful *searchAnswer // of the first voter that answered but had nothing to provide
 	for waiting := len(asked); waiting+len(rest) > 0; {
 		var answer searchAnswer
 		select {
@@ -121,7 +122,7 @@
 			if err := n.do(ctx, func(now time.Time) { n.core.takeProvisional(now, given) }); err != nil {
 				return err
 			}
-			rest = nil // settings are there, or a leader to ask for them
+			rest = nil // settings have been received, or there is a leader to ask for them
 			if leader := answer.response.Leader; leader != "" && !asked[leader] {
 				ask(leader)
 				waiting++
@@ -131,23 +132,24 @@
 		return n.take(ctx, &answer)
 	}
 	if unhelpful != nil {
-		// No voter has settings yet. Its voter holds the next sync until it does; asked
-		// again and again by a whole fleet that starts, the voters found no time to elect
-		// a leader.
+		// No voter has settings yet. The chosen voter holds the next sync until it has;
+		// repeated searches by a whole starting fleet would leave the voters no time to
+		// elect a leader.
 		return n.take(ctx, unhelpful)
 	}
 	return errNoVoter
 }
 
-// attachPatience is how much longer an instance that any voter may answer looks for
-// one than an instance that needs the leader. Each voter that it asks besides sends it
-// the whole fleet, so it asks further ones after pauses that double: when a large fleet
-// starts, voters are slow because all instances ask, and asking more makes it worse.
+// attachTimeoutFactor is the factor by which an instance that any voter may answer
+// searches longer than one that needs the leader. Each additional voter sends it the whole
+// fleet, so it asks further voters after pauses that double: when a large fleet starts,
+// voters are slow because all instances ask them, and asking more of them increases the
+// load.
 const attachPatience = 2
 
-// searchOne asks one voter. An instance without settings, which serves nobody, asks
-// again until some voter was heard: after a loss of power it is there before the
-// voters, and what it sent until then is lost or refused.
+// searchOne asks one voter. An instance without settings, which cannot serve requests,
+// retries until any voter has answered: after a power failure it may be up before the
+// voters, and everything it sent until then is lost or rejected.
 func (n *Node) searchOne(ctx context.Context, target string, request syncRequest, heard *atomic.Bool, answers chan<- searchAnswer) {
 	answer := searchAnswer{target: target, request: &request}
 	request.WaitMs = 0
@@ -168,12 +170,13 @@
 	answers <- answer
 }
 
-// take gives an answer to the control goroutine. Settings in it are parsed here first,
-// which keeps them for the install: a document of a thousand routes takes a small
-// processor longer than an election may, and consensus would wait for it there.
+// applyAnswer passes an answer to the control goroutine. Settings in it are parsed here
+// first, and the parse result is cached for the installation: parsing a document of a
+// thousand routes on a small processor takes longer than an election timeout, and would
+// delay consensus on the control goroutine.
 func (n *Node) take(ctx context.Context, a *searchAnswer) error {
 	if len(a.response.Text) > 0 {
-		_, _ = n.parsed.parse("accepted settings", a.response.Text) // the install meets the same error, and logs it
+		_, _ = n.parsed.parse("accepted settings", a.response.Text) // the installation meets the same error, and logs it
 	}
 	var taken error
 	err := n.do(ctx, func(now time.Time) { taken = n.core.takeSync(now, a) })
