--- a/control/search_test.go
+++ b/control/search_test.go
@@ -10,10 +10,10 @@
 )
 
 func TestDarkVoterHidesNoLeader(t *testing.T) {
-	// The machine of a voter has lost its power: it sends no reset, and calls to it
-	// hang. An instance that asked one voter after the other would sit in a call to
-	// the dead machine while another voter leads, and its callers would be served by
-	// old settings, or by none after a start.
+	// The machine of a voter has lost its power: it sends no TCP reset, and calls to it
+	// hang. An instance that asked the voters in sequence would be stuck in a call to the
+	// dead machine while another voter leads, and its callers would be served by old
+	// settings, or, after a start, not at all.
 	f := newFleet(t, 3, 0)
 	f.apply(0, "first", testTree(1))
 	leader := f.leader()
@@ -28,7 +28,7 @@
 		}
 	}
 	f.network.cut(dark.process.ControlListen)
-	f.timing.Call = time.Hour // who waits for the dead machine misses the test's limit
+	f.timing.Call = time.Hour // an instance that waits for the dead machine exceeds the test's time limit
 	f.timing.Search = time.Hour
 	f.voters = []settings.Member{
 		{ID: "other", Address: other.process.ControlListen},
@@ -44,9 +44,9 @@
 }
 
 func TestInstanceWithoutSettingsSeesAVoterAtOnce(t *testing.T) {
-	// The whole fleet has lost power. An instance is back first, and what it sends to the
-	// voters is lost or refused. If it waits for the end of that before it asks again, its
-	// callers are turned away although the voters are there.
+	// The whole fleet has lost power. An instance is up first, and what it sends to the
+	// voters is lost or rejected. If it waited for the end of these calls before it asked
+	// again, its callers would be rejected although the voters are up.
 	for _, dark := range []bool{false, true} {
 		f := newFleet(t, 3, 0)
 		accepted := f.apply(0, "first", testTree(1))
@@ -56,7 +56,7 @@
 		}
 		back := f.members[0]
 		usual := f.timing
-		f.timing.Search, f.timing.Call, f.timing.Retry = time.Hour, time.Hour, time.Hour // who waits for them misses the test's limit
+		f.timing.Search, f.timing.Call, f.timing.Retry = time.Hour, time.Hour, time.Hour // an instance that waits for one of them exceeds the test's time limit
 		if dark {
 			f.network.cut(back.process.ControlListen)
 		}
@@ -75,23 +75,24 @@
 }
 
 func TestFleetThatIsBackAsksEachVoterForAPart(t *testing.T) {
-	// All processes were killed, and hundreds of instances want the whole settings from a
-	// few small voters at the same moment. If each asks every voter, each voter answers
-	// all of them, and the callers of the last ones are turned away meanwhile.
+	// All processes were killed, and hundreds of instances request the whole settings from
+	// a few small voters at the same moment. If each asked every voter, each voter would
+	// answer all of them, and the callers of the instances answered last would be rejected
+	// in the meantime.
 	f := newFleet(t, 3, 0)
 	accepted := f.apply(0, "first", testTree(1))
 	f.awaitInstalled(accepted.Revision)
 	for _, m := range f.members {
 		f.crash(m)
 	}
-	bound, err := net.Listen("tcp", f.members[0].process.ControlListen) // who asks before it serves waits
+	bound, err := net.Listen("tcp", f.members[0].process.ControlListen) // instances that ask before the node serves are kept waiting
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.start(f.members[0], bound) // no leader without a majority
 	usual := f.timing
 	f.timing.Retry, f.timing.Stagger, f.timing.Search = time.Hour, time.Hour, time.Hour
-	f.timing.Look, f.timing.Call = time.Hour, time.Hour // also bound the first connection and call, which may take longer on a busy machine
+	f.timing.Look, f.timing.Call = time.Hour, time.Hour // also limit the first connection and call, which may take longer on a busy machine
 	f.voters = nil
 	for i := range 3 {
 		f.voters = append(f.voters, settings.Member{ID: string(rune('a' + i)), Address: f.members[0].process.ControlListen})
--- a/control/seeds.go
+++ b/control/seeds.go
@@ -8,8 +8,8 @@
 	"celeryport/settings"
 )
 
-// SetSeeds replaces the addresses that this instance asks when it knows no voter
-// that answers. The settings of a process may name others while it runs.
+// SetSeeds replaces the addresses that this instance asks when none of the known voters
+// answers. The settings of a process may change them while it runs.
 func (n *Node) SetSeeds(ctx context.Context, seeds []settings.Member) error {
 	return n.post(ctx, func(time.Time) {
 		n.core.seeds = seeds
--- a/control/service.go
+++ b/control/service.go
@@ -12,8 +12,8 @@
 	"celeryport/verdict"
 )
 
-// service answers the calls at the control address. Its methods run on the
-// goroutines of the HTTP server and hand the work to the control goroutine.
+// service implements the RPCs at the control address. Its methods run on the goroutines of
+// the HTTP server and pass the work to the control goroutine.
 type service struct {
 	node *Node
 }
@@ -42,7 +42,7 @@
 	return &rpc.SyncResponse{State: state, Upstreams: response.upstreams}, nil
 }
 
-// handleSync hands a sync to the control goroutine and waits for the answer.
+// handleSync passes a sync to the control goroutine and waits for the response.
 func (n *Node) handleSync(ctx context.Context, request *syncRequest) (*syncResponse, error) {
 	reply := make(chan *syncResponse, 1)
 	arrivedAt := n.clock.Now()
@@ -59,7 +59,8 @@
 	}
 }
 
-// acceptSync gives a sync to the leader's part, or names the leader.
+// acceptSync passes a sync to the fan-out or the leader state, or responds with the
+// address of the leader.
 func (c *core) acceptSync(now, arrivedAt time.Time, request *syncRequest, reply chan<- *syncResponse) {
 	c.followLeadership(now)
 	if request.Attach && c.fanout != nil {
@@ -73,14 +74,14 @@
 	reply <- &syncResponse{Redirect: true, Leader: c.leaderAddress(), Provisional: c.provisionalFor(now, request)}
 }
 
-// leaderAddress is where this instance believes the leader to be.
+// leaderAddress is the address at which this instance believes the leader to be.
 func (c *core) leaderAddress() string {
 	if c.group != nil {
 		if address := c.group.leaderAddress(); address != "" {
 			return address
 		}
 	}
-	return c.position.leader // also of a voter that is no member yet
+	return c.position.leader // set also on a voter that is not a member yet
 }
 
 // CopyLedger implements rpc.Control.
--- a/control/showsettings.go
+++ b/control/showsettings.go
@@ -8,17 +8,17 @@
 	"celeryport/membership"
 )
 
-// SettingsStatus answers CommandShow.
+// SettingsStatus is the response to CommandShow.
 type SettingsStatus struct {
 	Accepted    state.Revision        `json:"accepted"`
-	InForce     uint64                `json:"in_force"` // newest revision that is in force everywhere, 0 if none is known
+	InForce     uint64                `json:"in_force"` // latest revision in force on every instance, 0 if unknown
 	Outstanding []membership.Instance `json:"outstanding"`
-	Settling    bool                  `json:"settling"` // a new leader still waits for leases that the former one granted
+	Settling    bool                  `json:"settling"` // a new leader is still waiting for leases granted by its predecessor
 	Text        []byte                `json:"text"`
 	History     []state.Revision      `json:"history"`
 }
 
-// shownHistory is how many past revisions an answer lists.
+// shownHistory is the number of past revisions in a response.
 const shownHistory = 20
 
 // showSettings is the handler of CommandShow.
--- a/control/syncclient.go
+++ b/control/syncclient.go
@@ -12,9 +12,9 @@
 	"celeryport/rpc"
 )
 
-// runSync keeps this instance in step with the leader: each sync is held by the
-// leader until there is news or the interval is over, and the next one follows.
-// News of this instance's own is sent at once by further syncs beside it.
+// runSync keeps this instance synchronised with the leader. The leader holds each sync
+// until there is a change or the interval has passed, and the next one follows. Changes of
+// this instance are sent at once in additional syncs.
 func (n *Node) runSync(ctx context.Context) error {
 	go n.runUrgentSync(ctx)
 	for {
@@ -41,14 +41,14 @@
 		case <-ctx.Done():
 			return
 		case <-n.kick:
-			if n.syncOnce(ctx, 0) != nil { // a lost one is made good by the next regular sync
+			if n.syncOnce(ctx, 0) != nil { // a failed one is made up for by the next regular sync
 				clock.Pause(ctx, n.opts.Timing.Retry)
 			}
 		}
 	}
 }
 
-// kickSync asks for a sync beside the one that is held.
+// kickSync requests a sync in addition to the one that is held.
 func (n *Node) kickSync() {
 	select {
 	case n.kick <- struct{}{}:
@@ -56,14 +56,14 @@
 	}
 }
 
-// errAgain ends a sync that reached nobody who took it in, but whose answer says
-// how the next one will.
+// errResend is returned by a sync that was not accepted, but whose response states how to
+// send the next one.
 var errAgain = errors.New("the sync must be sent again")
 
-// errNoVoter ends a sync that found nobody to ask.
+// errNoVoter is returned by a sync that found no voter to ask.
 var errNoVoter = errors.New("no voter answered")
 
-// syncOnce sends one sync and takes in the answer.
+// syncOnce sends one sync and applies the response.
 func (n *Node) syncOnce(ctx context.Context, wait time.Duration) error {
 	var request syncRequest
 	var target string
@@ -82,7 +82,7 @@
 	return n.take(ctx, &searchAnswer{target: target, sentAt: sentAt, response: response, request: &request})
 }
 
-// callSync reaches the leader, which may be this instance itself.
+// callSync sends a sync to target, which may be this instance itself.
 func (n *Node) callSync(ctx context.Context, target string, request *syncRequest) (*syncResponse, error) {
 	if target == n.opts.controlAddress() {
 		return n.handleSync(ctx, request)
@@ -103,8 +103,8 @@
 	return &response, errors.Wrap(err, "decode the answer of a sync")
 }
 
-// SetDemand states what this instance saw of each organisation; it goes out with
-// the next sync.
+// SetDemand sets the demand that this instance observed of each organisation; it is sent
+// with the next sync.
 func (n *Node) SetDemand(ctx context.Context, demand []quota.Demand) error {
 	return n.post(ctx, func(time.Time) { n.core.demand = demand })
 }
--- a/control/synctake.go
+++ b/control/synctake.go
@@ -10,7 +10,8 @@
 	"celeryport/quarantine"
 )
 
-// syncFailed forgets a leader that did not answer.
+// syncFailed handles a sync that target did not answer; a leader at that address is no
+// longer assumed.
 func (c *core) syncFailed(target string, err error) {
 	if c.position.leader == target {
 		c.position.leader = ""
@@ -22,8 +23,8 @@
 	c.inTouch = false
 }
 
-// takeSync takes in an answer. The lease is renewed last: it covers the revision
-// in this answer, so it counts only once that is installed.
+// applySync applies the response to a sync. The lease is renewed last: it covers the
+// revision in this response, so it is valid only after that revision has been installed.
 func (c *core) takeSync(now time.Time, a *searchAnswer) error {
 	sentAt, target, r := a.sentAt, a.target, a.response
 	if r.Redirect {
@@ -58,16 +59,17 @@
 		c.noteDelivered(a)
 	}
 	if r.LeaseMs == 0 && len(r.Text) == 0 && !c.attaches() {
-		// It takes itself for the leader but can't reach a majority: another voter
-		// may know a newer one.
+		// The sender believes that it leads but cannot reach a majority: another voter may
+		// know a newer leader.
 		c.position.leader = ""
 	}
 	c.views.dirty()
 	return nil
 }
 
-// noteDelivered tells those that wait for a leader to have what was sent. A leader that has just
-// begun to lead lacks the batches before, and takes nothing until it is sent all.
+// acknowledgeDelivery notifies the callers that wait for a leader to have the sent
+// updates. A new leader lacks the earlier batches and acknowledges nothing until it has
+// been sent all of them.
 func (c *core) noteDelivered(a *searchAnswer) {
 	if a.response.HeardUpTo >= a.request.upTo {
 		c.fanout.delivery.takenUpTo(a.request.mark)
@@ -78,8 +80,8 @@
 	}
 }
 
-// noteTouch notes that a sync worked, and logs when this instance is in touch again or
-// its voter ceased to hear a leader.
+// recordContact records a successful sync, and logs when this instance regains contact
+// with the control group or its voter loses contact with the leader.
 func (c *core) noteTouch(now time.Time, target string, r *syncResponse) {
 	switch {
 	case r.Detached && !c.choice.Detached():
@@ -91,10 +93,10 @@
 	c.inTouch, c.syncedAt = true, now
 }
 
-// superseded handles the answer that a higher incarnation of this name is known.
-// A process that was never taken drew its incarnation from a clock that went
-// back, and draws a higher one. A process that was taken before has a successor,
-// and must not admit beside it.
+// superseded handles the response that a higher incarnation of this name is known. A
+// process that was never accepted drew its incarnation from a clock that had gone back,
+// and draws a higher one. A process that was accepted before has a successor, and must
+// stop admitting requests.
 func (c *core) superseded(known uint64) error {
 	if !c.accepted {
 		return c.renewIncarnation(known)
@@ -108,8 +110,8 @@
 	return nil
 }
 
-// takeEpoch starts from the beginning with another leader, whose positions mean
-// something else.
+// adoptEpoch discards all positions if the epoch has changed, because positions are
+// meaningful only to the leader that issued them.
 func (c *core) takeEpoch(now time.Time, epoch, target string) {
 	if c.position.epoch != epoch {
 		c.position = syncPosition{epoch: epoch}
@@ -136,8 +138,8 @@
 	c.takeQuarantine(r.Quarantine)
 }
 
-// takeQuarantine takes in the quarantined requests, unless an answer that was held
-// meanwhile brings older ones.
+// applyQuarantine replaces the quarantined requests, unless a delayed response brings an
+// older version.
 func (c *core) takeQuarantine(list *quarantine.List) {
 	if list.Version() <= c.quarantined.Version() {
 		return
@@ -147,7 +149,8 @@
 	eventQuarantine.Log(c.log, event.Fields{"requests": list.Size(), "version": list.Version()})
 }
 
-// noteInstallFailed logs a revision once, however often it is tried.
+// logInstallFailed logs a revision that could not be installed; repeated attempts are not
+// logged.
 func (c *core) noteInstallFailed(revision uint64, err error) {
 	if c.failedRevision != revision {
 		eventInstallFailed.Log(c.log, event.Fields{"revision": revision, "error": err})
@@ -155,9 +158,8 @@
 	c.failedRevision = revision
 }
 
-// takeGrants replaces the grants, unless an answer that was held meanwhile
-// brings older ones. A new leader gives none at first; those of its predecessor
-// lapse by themselves.
+// applyGrants replaces the grants, unless a delayed response brings older ones. A new
+// leader issues none at first; those of its predecessor expire by themselves.
 func (c *core) takeGrants(r *syncResponse) {
 	if r.GrantsAt == 0 || r.GrantsAt < c.position.grants {
 		return
@@ -166,7 +168,7 @@
 	c.position.grants = r.GrantsAt
 }
 
-// takeClaims publishes who votes on claims.
+// applyClaimEpoch publishes the voters on claims.
 func (c *core) takeClaims(r *syncResponse) {
 	known := c.node.claimGroup.Load()
 	if known != nil && known.epoch.Number >= r.Claims.Number {
@@ -191,12 +193,12 @@
 	c.heard.SetFreshFor(c.freshFor())
 	c.known.SetFreshFor(c.freshFor())
 	if !c.attaches() {
-		c.node.kickSync() // confirm at once; an attached instance's next sync follows this answer anyway
+		c.node.kickSync() // confirm at once; an attached instance's next sync follows this response anyway
 	}
 	return nil
 }
 
-// goodbye states that this instance admits nothing any more.
+// markGone marks this instance as gone and ends its lease.
 func (c *core) goodbye() {
 	c.self.State = membership.Gone
 	c.lease.drop()
--- a/control/synctarget.go
+++ b/control/synctarget.go
@@ -9,8 +9,8 @@
 	"celeryport/settings"
 )
 
-// syncRequest states what this instance knows, and whom to tell it; an empty
-// address says that no leader is known.
+// syncRequest returns the next sync and the address to send it to; the address is empty if
+// no leader is known.
 func (c *core) syncRequest(now time.Time, wait time.Duration) (syncRequest, string) {
 	c.self.Revision = c.installed.revision()
 	heard := c.heardDelta(now)
@@ -53,7 +53,7 @@
 // attaches reports whether this instance syncs with any voter instead of the leader.
 func (c *core) attaches() bool { return c.group == nil && c.node.opts.FanOut }
 
-// heardDelta encodes what this instance heard and the leader lacks.
+// heardDelta encodes the announcements that the leader has not acknowledged.
 func (c *core) heardDelta(now time.Time) []byte {
 	err := c.out.gather(now)
 	delta, sinceErr := c.out.sender.Since(now, c.position.heardUpTo)
@@ -64,7 +64,7 @@
 	return delta
 }
 
-// claimsEpoch is the epoch of claims that this instance knows.
+// claimsEpoch returns the number of the known epoch of claims.
 func (c *core) claimsEpoch() uint64 {
 	if known := c.node.claimGroup.Load(); known != nil {
 		return known.epoch.Number
@@ -72,8 +72,8 @@
 	return 0
 }
 
-// voterAddresses lists the voters of the last known configuration, and those of
-// the process settings in case all the former have been replaced.
+// voterAddresses lists the voters of the last known configuration, followed by those of
+// the process settings in case all of the former have been replaced.
 func (c *core) voterAddresses() []string {
 	var addresses []string
 	for _, m := range c.voters {
--- a/control/syncwire.go
+++ b/control/syncwire.go
@@ -10,34 +10,34 @@
 	"celeryport/quota"
 )
 
-// syncRequest is an instance's heartbeat to the leader. The positions are of
-// the leader named by Epoch; another leader starts from the beginning.
+// syncRequest is an instance's heartbeat to the leader. Its positions refer to the leader
+// identified by Epoch; with another leader they start from 0.
 type syncRequest struct {
 	Instance  membership.Instance `json:"instance,omitzero"`
-	Brief     *briefInstance      `json:"brief,omitempty"`    // instead of Instance, when the leader has heard the rest
-	VoterID   consensus.ID        `json:"voter_id,omitempty"` // of an instance with a log
+	Brief     *briefInstance      `json:"brief,omitempty"`    // replaces Instance once the leader knows the rest
+	VoterID   consensus.ID        `json:"voter_id,omitempty"` // set by an instance with a log
 	Epoch     string              `json:"epoch,omitempty"`
-	Members   uint64              `json:"members,omitempty"`   // table revision that is known
-	Upstreams uint64              `json:"upstreams,omitempty"` // last batch of the leader that was taken
-	Claims    uint64              `json:"claims,omitempty"`    // epoch of claims that is known
+	Members   uint64              `json:"members,omitempty"`   // known revision of the membership table
+	Upstreams uint64              `json:"upstreams,omitempty"` // last applied batch of the leader
+	Claims    uint64              `json:"claims,omitempty"`    // known epoch of claims
 	Demand    []quota.Demand      `json:"demand,omitempty"`
-	Grants    uint64              `json:"grants,omitempty"`   // round of the leader's grants that it acts on
+	Grants    uint64              `json:"grants,omitempty"`   // allocation round of the grants in use
 	Bare      bool                `json:"bare,omitempty"`     // the instance has no settings at all
-	Seeking   bool                `json:"seeking,omitempty"`  // no leader has taken the instance in yet
-	Known     int                 `json:"known,omitempty"`    // upstreams that it knows
-	WaitMs    int64               `json:"wait_ms,omitempty"`  // the leader may hold the answer for so long
+	Seeking   bool                `json:"seeking,omitempty"`  // no leader has accepted the instance yet
+	Known     int                 `json:"known,omitempty"`    // number of upstreams known to the instance
+	WaitMs    int64               `json:"wait_ms,omitempty"`  // longest time for which the leader may hold the response
 	Attach    bool                `json:"attach,omitempty"`   // any voter may answer, leading or not
-	Probe     bool                `json:"probe,omitempty"`    // only whether the voter hears a leader is asked; nothing else is set
-	Attached  []attachedInstance  `json:"attached,omitempty"` // of a voter: the instances attached to it
+	Probe     bool                `json:"probe,omitempty"`    // only asks whether the voter is in contact with a leader; nothing else is set
+	Attached  []attachedInstance  `json:"attached,omitempty"` // set by a voter: the instances attached to it
 
-	Quarantine *uint64 `json:"quarantine,omitempty"` // version of the quarantined requests that is known; nil: the sender has no use for them
+	Quarantine *uint64 `json:"quarantine,omitempty"` // known version of the quarantined requests; nil if the sender does not use them
 
-	heard []byte // heard directly and not yet taken by the leader; travels beside the JSON
-	mark  uint64 // of a voter: up to where its delivery is in this sync; stays here
-	upTo  uint64 // batch up to which heard brings whoever has the ones before; stays here
+	heard []byte // announcements received directly that the leader has not acknowledged; sent beside the JSON
+	mark  uint64 // of a voter: delivery mark that this sync covers; not sent
+	upTo  uint64 // position of the receiver after it has applied heard, if it has all earlier batches; not sent
 }
 
-// check refuses a sync that can't come from an instance that works as this one does.
+// check rejects a sync that no correct instance of this version sends.
 func (r *syncRequest) check() error {
 	if r.Attach && !r.Probe && r.Brief == nil && r.Instance.Name == "" {
 		return errors.New("the sync names no instance")
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// briefInstance is the part of an instance that may change while it runs.
+// briefInstance holds the fields of an instance that may change while it runs.
 type briefInstance struct {
 	Name        string           `json:"n"`
 	Incarnation uint64           `json:"i"`
@@ -58,45 +58,45 @@
 	Revision    uint64           `json:"r,omitempty"`
 }
 
-// briefOf returns the part of an instance that may change.
+// briefOf returns the fields of an instance that may change.
 func briefOf(i *membership.Instance) *briefInstance {
 	return &briefInstance{Name: i.Name, Incarnation: i.Incarnation, State: i.State, Revision: i.Revision}
 }
 
-// of returns the instance that is known, with what a brief statement says of it.
+// of returns the known instance with the fields of the brief form applied.
 func (b *briefInstance) of(known membership.Instance) membership.Instance {
 	known.Incarnation, known.State, known.Revision = b.Incarnation, b.State, b.Revision
 	return known
 }
 
-// syncResponse answers a syncRequest.
+// syncResponse is the response to a syncRequest.
 type syncResponse struct {
 	Leader      string             `json:"leader,omitempty"`   // control address of the leader, if known
-	Redirect    bool               `json:"redirect,omitempty"` // this voter does not lead; nothing else is set
-	Restate     bool               `json:"restate,omitempty"`  // the brief instance is not known here: state it whole
+	Redirect    bool               `json:"redirect,omitempty"` // this voter does not lead; only Leader and Provisional may be set besides
+	Restate     bool               `json:"restate,omitempty"`  // the brief instance is not known here and must be stated in full
 	Superseded  uint64             `json:"superseded,omitempty"`
 	Epoch       string             `json:"epoch,omitempty"`
 	LeaseMs     int64              `json:"lease_ms,omitempty"` // 0: no lease
 	Revision    uint64             `json:"revision,omitempty"`
-	Text        []byte             `json:"text,omitempty"` // when the instance has an older revision
+	Text        []byte             `json:"text,omitempty"` // set if the instance has an older revision
 	Members     memberDelta        `json:"member_delta,omitzero"`
-	Settled     bool               `json:"settled,omitempty"` // the leader knows every instance that lives
+	Settled     bool               `json:"settled,omitempty"` // the leader knows every live instance
 	MembersAt   uint64             `json:"members_at,omitempty"`
 	HeldMs      int64              `json:"held_ms,omitempty"`     // how long the leader held the sync
-	HeardUpTo   uint64             `json:"heard_up_to,omitempty"` // last batch of this instance that the leader took
+	HeardUpTo   uint64             `json:"heard_up_to,omitempty"` // last batch of this instance that the leader has applied
 	Grants      []quota.Grant      `json:"grants,omitempty"`
 	GrantsAt    uint64             `json:"grants_at,omitempty"`
 	Voters      []consensus.Member `json:"voters,omitempty"`
-	Provisional *provisional       `json:"provisional,omitempty"` // of one that does not lead, for a bare instance
-	Claims      claim.Epoch        `json:"claims,omitzero"`       // who votes on claims, when that is news
-	Detached    bool               `json:"detached,omitempty"`    // the voter that answers an attached instance hears no leader
-	Taken       bool               `json:"taken,omitempty"`       // a leader has taken the attached instance in
-	Unknown     []string           `json:"unknown,omitempty"`     // attached instances that must be stated whole
+	Provisional *provisional       `json:"provisional,omitempty"` // from a voter that does not lead, to an instance that has no settings or no leader
+	Claims      claim.Epoch        `json:"claims,omitzero"`       // voters on claims, if changed
+	Detached    bool               `json:"detached,omitempty"`    // the voter that answers an attached instance has no contact with a leader
+	Taken       bool               `json:"taken,omitempty"`       // a leader has accepted the attached instance
+	Unknown     []string           `json:"unknown,omitempty"`     // attached instances that must be stated in full
 
-	Quarantine *quarantine.List `json:"quarantine,omitempty"` // when it is news
+	Quarantine *quarantine.List `json:"quarantine,omitempty"` // set if changed
 
-	SupersededAttached map[string]uint64 `json:"superseded_attached,omitempty"` // attached instances of which a higher incarnation is known
+	SupersededAttached map[string]uint64 `json:"superseded_attached,omitempty"` // attached instances of which a higher incarnation is known, with that incarnation
 
-	upstreams []byte // heard by the leader and not yet taken; travels beside the JSON
-	leaves    bool   // the sync may have told of an upstream that leaves, which the leader must have before this is sent
+	upstreams []byte // announcements that the instance has not acknowledged; sent beside the JSON
+	leaves    bool   // the sync may announce a leaving upstream; the response is sent only after the leader has it
 }
--- a/control/upstreams_test.go
+++ b/control/upstreams_test.go
@@ -6,7 +6,7 @@
 	"celeryport/upstream"
 )
 
-// sees reports whether a node knows the upstream in the state, with the load.
+// sees reports whether a node knows the upstream in the given state, with the given load.
 func (n *testNode) sees(name string, state upstream.State, running int) bool {
 	for _, u := range n.node.View().Upstreams.Upstreams {
 		if u.Announcement.Name == name {
@@ -16,8 +16,8 @@
 	return false
 }
 
-// awaitSeen announces the upstream at one node, again and again as upstreams do,
-// until every running node sees it so.
+// awaitSeen announces the upstream at one node repeatedly, as upstreams do, until every
+// running node sees it in the given state.
 func (f *fleet) awaitSeen(a *upstream.Announcement, at *testNode, state upstream.State) {
 	f.t.Helper()
 	f.await("every instance sees the upstream", func() bool {
@@ -33,9 +33,9 @@
 }
 
 func TestUpstreamsReachEveryInstance(t *testing.T) {
-	// An upstream announces itself to one instance only. The others must learn of
-	// it, of its load and of its leaving, also when the leader changes in between;
-	// otherwise they send it nothing, or go on sending after it has left.
+	// An upstream announces itself to one instance only. The other instances must learn of
+	// it, of its load and of its leaving, even if the leader changes in between; otherwise
+	// they send it no requests, or continue to send some after it has left.
 	t.Parallel()
 	f := newFleet(t, 3, 2)
 	first := f.apply(0, "a", testTree(1))
--- a/control/voter_bench_test.go
+++ b/control/voter_bench_test.go
@@ -12,13 +12,14 @@
 	"celeryport/upstream"
 )
 
-// attachedCaller is an instance that hears some upstreams and syncs with a voter.
+// attachedCaller is an instance that receives announcements of some upstreams and syncs
+// with a voter.
 type attachedCaller struct {
 	name      string
 	heard     *upstream.Registry
 	out       outbox
-	taken     uint64 // of its batches, by the voter
-	upstreams uint64 // last batch of the voter that it took
+	taken     uint64 // batches of the instance that the voter has applied
+	upstreams uint64 // last batch of the voter that the instance has applied
 	stated    bool
 }
 
@@ -50,9 +51,10 @@
 	return len(state) + len(response.upstreams)
 }
 
-// BenchmarkVoterSecond is what a voter does in a second for 100 attached instances of 300
-// before 3,000 upstreams, a third of which its own instances hear: two syncs of each, and
-// what the leader tells of the others.
+// BenchmarkVoterSecond measures a voter's work during one second for 100 of 300 attached
+// instances and 3,000 upstreams, a third of which announce themselves to its own
+// instances: two syncs of each instance, and the leader's updates about the other
+// upstreams.
 func BenchmarkVoterSecond(b *testing.B) {
 	const instances, upstreams, each = 100, 3000, 10
 	now := time.Unix(1_700_000_000, 0)
--- a/control/voters.go
+++ b/control/voters.go
@@ -11,7 +11,7 @@
 	"celeryport/verdict"
 )
 
-// VotersStatus answers CommandVoterList and CommandVoterReplace.
+// VotersStatus is the response to CommandVoterList and CommandVoterReplace.
 type VotersStatus struct {
 	Leader     consensus.ID  `json:"leader"`
 	Term       uint64        `json:"term"`
@@ -20,13 +20,13 @@
 	LeaseValid bool          `json:"lease_valid"`
 }
 
-// VoterStatus is one member of the control group as the leader sees it.
+// VoterStatus is the leader's view of one member of the control group.
 type VoterStatus struct {
 	ID       consensus.ID `json:"id"`
 	Address  string       `json:"address"`
-	Instance string       `json:"instance,omitempty"` // name of the instance, when it is known
+	Instance string       `json:"instance,omitempty"` // name of the instance, if known
 	Learner  bool         `json:"learner"`
-	Match    uint64       `json:"match"` // last log index known to be synced there
+	Match    uint64       `json:"match"` // last log index known to be synced on this member
 }
 
 // listVoters is the handler of CommandVoterList.
@@ -64,15 +64,15 @@
 	return ""
 }
 
-// ReplaceRequest asks for the replacement of one voter. Old is the ID of the
-// voter to remove, empty to add one only; New is the name of an instance with
-// voter = true and a data folder that is no member yet, empty to remove only.
+// ReplaceRequest asks for the replacement of one voter. Old is the ID of the voter to
+// remove, empty to only add one. New is the name of an instance with voter = true whose
+// data folder is not yet a member, empty to only remove one.
 type ReplaceRequest struct {
 	Old consensus.ID `json:"old"`
 	New string       `json:"new"`
 }
 
-// replaceStep is what must be done next of a replacement.
+// replaceStep is the next step of a replacement.
 type replaceStep uint8
 
 const (
@@ -83,11 +83,11 @@
 	replaceHandOver
 )
 
-// replaceVoter is the handler of CommandVoterReplace. It does one step after the
-// other: the new voter copies the log as a learner, becomes a voter only when it
-// holds every committed entry on its disk, and the old one leaves only after
-// that. Each step looks at the configuration that is in force, so a resent
-// command goes on where the first one stopped.
+// replaceVoter is the handler of CommandVoterReplace. It proceeds step by step: the new
+// voter copies the log as a learner, is promoted only when it has every committed entry on
+// its disk, and the old voter is removed only after that. Each step is derived from the
+// current configuration, so a command that is sent again continues where the first one
+// stopped.
 func (n *Node) replaceVoter(ctx context.Context, body []byte) ([]byte, error) {
 	request, err := decode[ReplaceRequest](body)
 	if err != nil {
@@ -120,15 +120,15 @@
 	}
 }
 
-// waitsForInstance reports whether nothing was done yet, for want of the new
-// instance's first sync.
+// waitsForInstance reports whether the replacement has not begun because the new instance
+// has not synced yet.
 func waitsForInstance(err error) bool {
 	return errors.Is(err, errNoCandidate) || errors.Is(err, errSameFolder)
 }
 
-// passing reports whether a refusal ends by itself: an instance that just
-// starts, a change that is not committed yet, or a learner that still copies the
-// log.
+// transient reports whether a refusal is expected to resolve without intervention: an
+// instance that has just started, a change that is not committed yet, or a learner that is
+// still copying the log.
 func passing(err error) bool {
 	if waitsForInstance(err) {
 		return true
@@ -146,7 +146,7 @@
 	}
 }
 
-// replace does the next step of a replacement.
+// replace performs the next step of a replacement.
 func (l *leader) replace(now time.Time, request *ReplaceRequest) (replaceStep, error) {
 	next := l.core.group.node.Status().Configuration
 	added, err := l.newMember(request)
@@ -172,7 +172,7 @@
 	return step, l.core.group.node.ProposeConfig(now, next)
 }
 
-// pending keeps a replacement waiting until its last step is committed.
+// pending returns an error while the last step of a replacement is not committed.
 func (l *leader) pending() error {
 	if l.core.group.node.Status().ConfigPending {
 		return &consensus.RefusedError{Cause: consensus.RefusedPending}
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// nextReplaceStep compares the configuration with what is wished.
+// nextReplaceStep compares the configuration with the requested one.
 func nextReplaceStep(c *consensus.Configuration, r *ReplaceRequest, added, leader consensus.ID) replaceStep {
 	switch {
 	case added != "" && !c.Voter(added) && !c.Learner(added):
@@ -196,18 +196,18 @@
 	}
 }
 
-// errNoCandidate says that the instance did not sync yet, or is no voter by its
-// settings.
+// errNoCandidate is returned if the new instance has not synced yet or is not a voter
+// according to its settings.
 var errNoCandidate = verdict.Refuse(verdict.ReasonNotLeader, 0,
 	"no live instance of this name with voter = true and a data folder is known")
 
-// errSameFolder says that the new voter still is the old one. It just restarted
-// with an empty folder and did not sync yet, or it has its disk and needs no
-// replacement.
+// errSameFolder is returned if the new voter still has the data folder of the old one.
+// Either it has just restarted with an empty folder and has not synced yet, or its disk is
+// intact and it needs no replacement.
 var errSameFolder = verdict.Refuse(verdict.ReasonNotLeader, 0,
 	"the instance still has the data folder of the voter that it shall replace")
 
-// newMember finds the instance that shall become a voter.
+// newMember finds the instance to be added as a voter.
 func (l *leader) newMember(request *ReplaceRequest) (consensus.Member, error) {
 	if request.New == "" {
 		return consensus.Member{}, nil
