--- a/control/applysettings.go
+++ b/control/applysettings.go
@@ -71,7 +71,7 @@
 	case result := <-done:
 		return result.outcome, result.err
 	case <-n.stopped:
-		return state.Outcome{}, errOvertaken
+		return state.Outcome{}, errOutcomeUnknown
 	case <-ctx.Done():
 		return state.Outcome{}, verdict.Wrap(ctx.Err(), verdict.MayHaveRun, verdict.ReasonNoQuorum,
 			"no majority of the voters confirmed the change in time; send it again with the same order id to learn its outcome")
--- a/control/attached.go
+++ b/control/attached.go
@@ -64,7 +64,7 @@
 
 // applyAttachedResult records the leader's response to the statements in a sync of this
 // voter.
-func (f *fanout) takeAttached(sent []attachedInstance, r *syncResponse) {
+func (f *fanout) applyAttachedResult(sent []attachedInstance, r *syncResponse) {
 	for _, name := range r.Unknown {
 		f.roster.Unknown(name)
 	}
@@ -93,9 +93,9 @@
 	return attachment.Order(c.voterAddresses(), c.members.list(), process.Name, process.AvailabilityZone, failed)
 }
 
-// betterVoter returns a voter that this instance prefers to its current one; empty if
+// preferredVoter returns a voter that this instance prefers to its current one; empty if
 // there is none.
-func (c *core) betterVoter(now time.Time) string {
+func (c *core) preferredVoter(now time.Time) string {
 	if c.position.leader == "" {
 		return ""
 	}
@@ -108,7 +108,7 @@
 // each of them.
 func (n *Node) reattach(ctx context.Context) error {
 	var target string
-	if err := n.do(ctx, func(now time.Time) { target = n.core.betterVoter(now) }); err != nil || target == "" {
+	if err := n.do(ctx, func(now time.Time) { target = n.core.preferredVoter(now) }); err != nil || target == "" {
 		return err
 	}
 	bounded, cancel := context.WithTimeout(ctx, n.opts.Timing.Search)
@@ -117,12 +117,12 @@
 	if err != nil {
 		return errors.CombineErrors(n.do(ctx, func(now time.Time) { n.core.choice.Unanswered(now) }), ctx.Err())
 	}
-	return n.do(ctx, func(now time.Time) { n.core.takeProbe(now, target, response) })
+	return n.do(ctx, func(now time.Time) { n.core.applyProbe(now, target, response) })
 }
 
 // applyProbe switches to the probed voter if it is in contact with a leader, or at least
 // has settings while this instance has none.
-func (c *core) takeProbe(now time.Time, target string, r *syncResponse) {
+func (c *core) applyProbe(now time.Time, target string, r *syncResponse) {
 	helps := !r.Detached || c.installed.tree == nil && r.Revision > 0
 	if r.Redirect || !helps {
 		return
--- a/control/attached_test.go
+++ b/control/attached_test.go
@@ -71,7 +71,7 @@
 	})
 }
 
-func TestVoterThatIsCutOffIsLeft(t *testing.T) {
+func TestInstancesLeaveAPartitionedVoter(t *testing.T) {
 	// A voter is partitioned from the other voters, but not from the instances attached to
 	// it, and continues to answer them. If they stayed attached to it, their callers would
 	// be served by outdated settings for as long as the partition lasts.
@@ -87,14 +87,14 @@
 		}
 	}
 	f.await("the instance attached to its voter", func() bool { return attached.attachedTo() == cutOff.process.ControlListen })
-	f.network.cut(cutOff.process.ControlListen, attached.process.ControlListen)
+	f.network.partition(cutOff.process.ControlListen, attached.process.ControlListen)
 	second := f.apply(first.Revision, "b", testTree(2))
-	f.awaitOne(attached, second.Revision)
-	f.network.heal(cutOff.process.ControlListen)
-	f.await("the instance back at its voter", func() bool { return attached.attachedTo() == cutOff.process.ControlListen })
+	f.awaitInstalledAt(attached, second.Revision)
+	f.network.reconnect(cutOff.process.ControlListen)
+	f.await("the instance attached to its voter again", func() bool { return attached.attachedTo() == cutOff.process.ControlListen })
 }
 
-func TestLossOfAVoterIsMadeGoodByTheOthers(t *testing.T) {
+func TestAttachedInstancesSurviveTheLossOfTheirVoter(t *testing.T) {
 	// The voter that an instance is attached to dies. The instance must receive changes,
 	// and the others must learn that the voter is gone, through another voter.
 	t.Parallel()
@@ -105,11 +105,11 @@
 	f.await("the instance attached to its voter", func() bool { return attached.attachedTo() == f.members[0].process.ControlListen })
 	f.crash(f.members[0])
 	second := f.apply(first.Revision, "b", testTree(2))
-	f.awaitOne(attached, second.Revision)
+	f.awaitInstalledAt(attached, second.Revision)
 	f.start(f.members[0], nil)
-	f.await("the instance back at its voter", func() bool { return attached.attachedTo() == f.members[0].process.ControlListen })
+	f.await("the instance attached to its voter again", func() bool { return attached.attachedTo() == f.members[0].process.ControlListen })
 	f.crash(attached)
-	f.await("the dead instance gone", func() bool {
+	f.await("the dead instance is gone", func() bool {
 		for _, i := range f.members[4].node.View().Instances {
 			if i.Name == attached.process.Name {
 				return i.State == membership.Gone
@@ -136,7 +136,7 @@
 	if err := f.members[2].node.AnnounceSurely(ctx, *a); err != nil {
 		t.Fatal(err)
 	}
-	f.await("every instance knows that it leaves", func() bool {
+	f.await("every instance knows that the upstream is leaving", func() bool {
 		for _, m := range f.members {
 			if !m.sees(a.Name, upstream.Leaving, 0) {
 				return false
@@ -146,7 +146,7 @@
 	})
 }
 
-func TestAttachedInstanceOutgrowsItsFormerIncarnation(t *testing.T) {
+func TestAttachedInstanceDrawsAHigherIncarnation(t *testing.T) {
 	// The machine's clock went back while the instance was down, so it starts with an
 	// incarnation below that of its former process, which the leader knows. If it never
 	// drew a higher one, it would get no settings until the clock caught up.
@@ -168,10 +168,10 @@
 	}
 	back := f.add(3, false, listener)
 	f.await("a higher incarnation", func() bool { return back.node.View().Incarnation > far })
-	f.awaitOne(back, first.Revision)
+	f.awaitInstalledAt(back, first.Revision)
 }
 
-func TestInstancesThatJoinWakeNoOther(t *testing.T) {
+func TestJoiningInstancesWakeNoHeldSyncs(t *testing.T) {
 	// A fleet of 300 instances starts at once, and each is attached to one of a few
 	// voters. If every instance that joins wakes all held syncs, a voter sends a hundred
 	// responses for each, and is busy for seconds while it should elect a leader.
@@ -195,12 +195,12 @@
 		answered += len(reply)
 	}
 	if answered > 0 {
-		t.Errorf("%d of %d instances were woken because others joined", answered, fleetSize)
+		t.Errorf("%d of %d held syncs were answered because others joined", answered, fleetSize)
 	}
 	c.fanout.step(now.Add(time.Second))
 	for _, reply := range waiting {
 		if r := <-reply; len(r.Members.list) != fleetSize {
-			t.Fatalf("an answer that was due names %d instances, want %d", len(r.Members.list), fleetSize)
+			t.Fatalf("a due response names %d instances, want %d", len(r.Members.list), fleetSize)
 		}
 	}
 }
@@ -231,11 +231,11 @@
 		return held == 1
 	})
 	if calls := bare.node.clients.Stats().Calls.Load(); calls > 3 {
-		t.Errorf("%d calls until the voter held one", calls)
+		t.Errorf("%d calls before the voter held one", calls)
 	}
 }
 
-func TestUpstreamsAreHeardByInstancesOfTheirZone(t *testing.T) {
+func TestUpstreamsAnnounceToInstancesOfTheirZone(t *testing.T) {
 	// Hundreds of upstreams announce themselves every second. If a few voters receive the
 	// announcements of all of them, their small processors have no time for anything else,
 	// and leaving upstreams are not acknowledged.
@@ -244,7 +244,7 @@
 		{Name: "draining", State: membership.Draining, Address: "x", ControlAddress: "10.0.0.8:1", AvailabilityZone: "a"},
 	}
 	if got := hearingAddress(instances, "e", "a"); got != "" {
-		t.Errorf("nobody is there to hear an upstream, and %s is named", got)
+		t.Errorf("no instance can receive announcements, but %s is named", got)
 	}
 	zones := map[string]string{}
 	for n := range 6 {
@@ -258,15 +258,15 @@
 	for n := range 300 {
 		address := hearingAddress(instances, fmt.Sprint("engine-", n), "a")
 		if zones[address] != "a" {
-			t.Fatalf("an upstream of zone a is heard at %q", address)
+			t.Fatalf("an upstream of zone a announces to %q", address)
 		}
 		counts[address]++
 	}
 	if len(counts) != 3 || slices.Min(slices.Collect(maps.Values(counts))) < 60 {
-		t.Errorf("300 upstreams are heard so: %v", counts)
+		t.Errorf("distribution of 300 upstreams: %v", counts)
 	}
 	if got := hearingAddress(instances, "e", "zone without instances"); got == "" {
-		t.Error("an upstream of a zone without instances is heard by nobody")
+		t.Error("no instance for an upstream of a zone without instances")
 	}
 }
 
@@ -290,7 +290,7 @@
 	f.await("the instance attached to its voter", func() bool { return attached.attachedTo() == cutOff.process.ControlListen })
 	a := &upstream.Announcement{Name: "e1", Incarnation: 1, Address: "10.0.0.1:9", Targets: []string{"m"}}
 	f.awaitSeen(a, attached, upstream.Fresh)
-	f.network.cut(cutOff.process.ControlListen, attached.process.ControlListen)
+	f.network.partition(cutOff.process.ControlListen, attached.process.ControlListen)
 	a.Sequence++
 	a.Leaving = true
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
@@ -301,12 +301,12 @@
 	var known upstream.Announcement
 	err := leader.node.do(t.Context(), func(time.Time) { known, _ = leader.node.core.known.Find(a.Name) })
 	if err != nil || !known.Leaving {
-		t.Errorf("it was acknowledged, and the leader takes it for leaving: %t, %v", known.Leaving, err)
+		t.Errorf("leaving was acknowledged, but on the leader Leaving is %t, error %v", known.Leaving, err)
 	}
 	f.await("the others know", func() bool { return other.sees(a.Name, upstream.Leaving, 0) })
 }
 
-func TestInstancesSurviveTheWire(t *testing.T) {
+func TestMemberDeltaIsDecodedWholeOrRejected(t *testing.T) {
 	// A list that is sent to many instances is compressed. A list that cannot be decoded
 	// must be rejected as a whole: an instance that took a part of it for the whole would
 	// give out no other addresses.
@@ -326,15 +326,15 @@
 		}
 		var cut memberDelta
 		if err := cut.UnmarshalJSON(data[:len(data)/2]); err == nil {
-			t.Errorf("%s: half of it was taken: %v", name, cut.list)
+			t.Errorf("%s: a truncated list was decoded in part: %v", name, cut.list)
 		}
 	}
 	if err := new(memberDelta).UnmarshalJSON([]byte(`"KLUv/QAAAAAAAAAA"`)); err == nil {
-		t.Error("a damaged list was taken")
+		t.Error("a damaged list was accepted")
 	}
 }
 
-func TestUrgentNewsWakesAttachedInstances(t *testing.T) {
+func TestUrgentChangesWakeAttachedInstances(t *testing.T) {
 	// An engine leaves, or settings change, while an instance's sync is held. If the
 	// response waited until it was due, the instance would continue to send requests to
 	// the engine, or to serve by the old settings, for half a second per voter on the way.
@@ -359,19 +359,19 @@
 	c.hear(now, engine)
 	now = now.Add(relayInterval)
 	if c.fanout.step(now); len(held) > 0 {
-		t.Error("an engine that announces itself again wakes instances")
+		t.Error("a repeated announcement of an engine wakes instances")
 	}
 	engine.Sequence++
 	engine.Leaving = true
 	c.hear(now, engine)
 	if c.fanout.step(now); len(held) == 0 {
-		t.Error("an engine leaves, and the instance is not told at once")
+		t.Error("a leaving engine does not wake the instance")
 	}
 	held = hold()
 	if err := c.installed.install(7, testTree(7)); err != nil {
 		t.Fatal(err)
 	}
 	if c.fanout.step(now); len(held) == 0 {
-		t.Error("settings have changed, and the instance is not told at once")
+		t.Error("changed settings do not wake the instance")
 	}
 }
--- a/control/claimdriver.go
+++ b/control/claimdriver.go
@@ -88,12 +88,12 @@
 // none of the others.
 func (d *claimDriver) send(ctx context.Context, messages []claim.Message) {
 	for _, m := range messages {
-		go d.carry(ctx, m)
+		go d.deliver(ctx, m)
 	}
 }
 
-func (d *claimDriver) carry(ctx context.Context, m claim.Message) {
-	answers, err := d.node.carryClaim(ctx, m)
+func (d *claimDriver) deliver(ctx context.Context, m claim.Message) {
+	answers, err := d.node.sendClaim(ctx, m)
 	if err != nil {
 		return // asked again after Resend
 	}
--- a/control/claims.go
+++ b/control/claims.go
@@ -18,7 +18,7 @@
 	claimResend   = 250 * time.Millisecond
 	claimBackoff  = 20 * time.Millisecond
 	claimDeadline = 2 * time.Second // used if the caller's context has no deadline
-	claimKept     = time.Hour       // how long a won claim is kept while its outcome is unknown
+	wonClaimTTL   = time.Hour       // how long a won claim is kept while its outcome is unknown
 )
 
 // claimGroup is the set of voters on claims and their addresses.
@@ -29,9 +29,9 @@
 
 // wonClaims holds the claims that were won until their outcome is known.
 type wonClaims struct {
-	mu    sync.Mutex
-	won   map[claim.Holder]*claimDriver
-	swept time.Time
+	mu        sync.Mutex
+	won       map[claim.Holder]*claimDriver
+	lastSweep time.Time
 }
 
 // put adds a claim and removes those whose outcome was never reported: their keys remain
@@ -43,18 +43,18 @@
 		w.won = map[claim.Holder]*claimDriver{}
 	}
 	w.won[h] = d
-	if now.Sub(w.swept) < claimKept/2 {
+	if now.Sub(w.lastSweep) < wonClaimTTL/2 {
 		return
 	}
-	w.swept = now
+	w.lastSweep = now
 	for holder, old := range w.won {
-		if now.Sub(old.startedAt) > claimKept {
+		if now.Sub(old.startedAt) > wonClaimTTL {
 			delete(w.won, holder)
 		}
 	}
 }
 
-func (w *wonClaims) take(h claim.Holder) *claimDriver {
+func (w *wonClaims) remove(h claim.Holder) *claimDriver {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	d := w.won[h]
@@ -75,7 +75,7 @@
 		Key:      key,
 		Holder:   holder,
 		Epoch:    group.epoch,
-		Deadline: claimUntil(ctx, now),
+		Deadline: claimDeadlineOf(ctx, now),
 		Resend:   claimResend,
 		Backoff:  claimBackoff,
 		Rand:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
@@ -87,7 +87,7 @@
 	return result
 }
 
-func claimUntil(ctx context.Context, now time.Time) time.Time {
+func claimDeadlineOf(ctx context.Context, now time.Time) time.Time {
 	if deadline, found := ctx.Deadline(); found {
 		return deadline
 	}
@@ -97,20 +97,20 @@
 // Settle implements Plane. It continues in the background until the voters have confirmed
 // or the attempts are exhausted.
 func (n *Node) Settle(_ claim.Key, holder claim.Holder, outcome claim.Outcome) {
-	if d := n.wonClaims.take(holder); d != nil {
+	if d := n.wonClaims.remove(holder); d != nil {
 		go d.settle(outcome)
 	}
 }
 
 // sendClaim sends a message to a voter, which may be this instance's own, and returns the
 // answers.
-func (n *Node) carryClaim(ctx context.Context, m claim.Message) ([]claim.Message, error) {
+func (n *Node) sendClaim(ctx context.Context, m claim.Message) ([]claim.Message, error) {
 	if n.claimVoter != nil && n.core.group.id == m.To {
 		return n.claimVoter.ask(ctx, m)
 	}
 	group := n.claimGroup.Load()
 	if group == nil || group.addresses[m.To] == "" {
-		return nil, errNoVoterHere
+		return nil, errNotVoter
 	}
 	data, err := claim.EncodeMessage(&m)
 	if err != nil {
@@ -132,7 +132,7 @@
 // Claim implements rpc.Control.
 func (s *service) Claim(ctx context.Context, in *rpc.ClaimRequest) (*rpc.ClaimResponse, error) {
 	if s.node.claimVoter == nil {
-		return nil, rpc.ToTwirp(errNoVoterHere)
+		return nil, rpc.ToTwirp(errNotVoter)
 	}
 	m, err := claim.DecodeMessage(in.Message)
 	if err != nil {
--- a/control/claims_test.go
+++ b/control/claims_test.go
@@ -25,8 +25,8 @@
 	return claim.Holder{Instance: n.process.Name, Incarnation: 1, Request: request}
 }
 
-// claimable starts a fleet whose instances know the voters on claims.
-func claimable(t *testing.T, voters, others int) *fleet {
+// newClaimFleet starts a fleet whose instances know the voters on claims.
+func newClaimFleet(t *testing.T, voters, others int) *fleet {
 	t.Helper()
 	f := newFleet(t, voters, others)
 	f.await("every instance can claim", func() bool {
@@ -45,7 +45,7 @@
 	// while the first one is still processing it. If both forwarded it, two bolts would be
 	// cut.
 	t.Parallel()
-	f := claimable(t, 3, 2)
+	f := newClaimFleet(t, 3, 2)
 	for key := range 10 {
 		won := make(chan *testNode, len(f.members))
 		var group errgroup.Group
@@ -80,7 +80,7 @@
 	// An upstream rejected a request before it ran. The caller's next attempt with the
 	// same key must not be answered with the verdict that the first one may have run.
 	t.Parallel()
-	f := claimable(t, 3, 1)
+	f := newClaimFleet(t, 3, 1)
 	if first := claimAt(t, f.members[3], "k", "r"); first.State != Won {
 		t.Fatalf("first claim: %+v", first)
 	}
@@ -92,7 +92,7 @@
 	// Two of three voters are gone. A claim won with a single vote could be won a second
 	// time by an instance that reaches the other two voters.
 	t.Parallel()
-	f := claimable(t, 3, 1)
+	f := newClaimFleet(t, 3, 1)
 	f.crash(f.members[0])
 	f.crash(f.members[1])
 	if got := claimAt(t, f.members[3], "k", "r"); got.State != NoMajority {
@@ -106,12 +106,12 @@
 	// replacement form a majority that never received the claim: if the replacement did
 	// not copy the votes, the key could be won again.
 	t.Parallel()
-	f := claimable(t, 3, 0)
-	f.network.cut(f.members[1].process.ControlListen)
+	f := newClaimFleet(t, 3, 0)
+	f.network.partition(f.members[1].process.ControlListen)
 	if first := claimAt(t, f.members[2], "k", "r"); first.State != Won {
 		t.Fatalf("first claim: %+v", first)
 	}
-	f.network.heal(f.members[1].process.ControlListen)
+	f.network.reconnect(f.members[1].process.ControlListen)
 	old := f.voterID(f.members[0])
 	f.crash(f.members[0])
 	replacement := f.join()
--- a/control/claimstate.go
+++ b/control/claimstate.go
@@ -6,14 +6,14 @@
 )
 
 // updateLifetime applies the lifetime of keys from the settings in force.
-func (v *claimVoter) takeLifetime() {
+func (v *claimVoter) updateLifetime() {
 	if tree := v.node.View().Tree; tree != nil {
 		v.voter.SetLifetime(tree.Fleet.KeyLifetime)
 	}
 }
 
 // logState logs when the voter starts or stops voting.
-func (v *claimVoter) noteState() {
+func (v *claimVoter) logState() {
 	status := v.voter.Status()
 	if status.Full && !v.full {
 		claim.EventFull.Log(v.node.log, event.Fields{"votes": status.Votes})
--- a/control/claimvoter.go
+++ b/control/claimvoter.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	claimsFolder  = "claims"
-	claimQueue    = 1024
-	claimTick     = time.Second
-	compactClaims = 16 << 20 // size of the vote log in bytes from which it is rewritten
+	claimsFolder      = "claims"
+	claimQueue        = 1024
+	claimTick         = time.Second
+	compactClaimBytes = 16 << 20 // size of the vote log in bytes from which it is rewritten
 )
 
 // claimVoter stores the votes of this instance. A single goroutine owns it. Requests that
@@ -68,7 +68,7 @@
 		return nil, errors.CombineErrors(err, records.Close())
 	}
 	return &claimVoter{
-		node: n, voter: voter, records: records, rewrite: compactClaims,
+		node: n, voter: voter, records: records, rewrite: compactClaimBytes,
 		requests: make(chan claimRequest, claimQueue), epochs: make(chan claim.Epoch, claimQueue),
 	}, nil
 }
@@ -87,7 +87,7 @@
 		case e := <-v.epochs:
 			v.voter.Enter(v.node.clock.Now(), e)
 		case <-ticker.C:
-			v.takeLifetime()
+			v.updateLifetime()
 			v.voter.Tick(v.node.clock.Now())
 		}
 		if err := v.process(ctx, batch); err != nil {
@@ -115,7 +115,7 @@
 		v.voter.Step(now, batch[i].message)
 		ready := v.voter.Ready()
 		records = append(records, ready.Records...)
-		answers[i].messages, own.Messages = v.divide(&batch[i], ready.Messages, own.Messages)
+		answers[i].messages, own.Messages = v.splitMessages(&batch[i], ready.Messages, own.Messages)
 	}
 	if err := v.sync(records); err != nil {
 		for i := range batch {
@@ -129,12 +129,12 @@
 	for i := range own.Messages {
 		go v.send(ctx, own.Messages[i])
 	}
-	v.noteState()
+	v.logState()
 	return nil
 }
 
-// divide separates the answers to a request from messages to other voters.
-func (v *claimVoter) divide(r *claimRequest, messages, others []claim.Message) (answers, rest []claim.Message) {
+// splitMessages separates the answers to a request from messages to other voters.
+func (v *claimVoter) splitMessages(r *claimRequest, messages, others []claim.Message) (answers, rest []claim.Message) {
 	for _, m := range messages {
 		if m.To == r.message.From && m.Kind == r.message.Kind+1 {
 			answers = append(answers, m)
@@ -166,7 +166,7 @@
 	if err := v.records.Rewrite(whole); err != nil {
 		return err
 	}
-	v.rewrite = compactClaims + 2*v.records.Size()
+	v.rewrite = compactClaimBytes + 2*v.records.Size()
 	return nil
 }
 
@@ -184,7 +184,7 @@
 
 // send sends a message to another voter and enqueues the answers.
 func (v *claimVoter) send(ctx context.Context, m claim.Message) {
-	answers, err := v.node.carryClaim(ctx, m)
+	answers, err := v.node.sendClaim(ctx, m)
 	if err != nil {
 		return // asked again with the next tick
 	}
--- a/control/confirmation.go
+++ b/control/confirmation.go
@@ -17,7 +17,7 @@
 }
 
 // setCurrent records the accepted revision.
-func (c *confirmations) note(now time.Time, accepted uint64) {
+func (c *confirmations) setCurrent(now time.Time, accepted uint64) {
 	if accepted == c.current {
 		return
 	}
@@ -35,7 +35,7 @@
 
 // isRecent reports whether the revision is the accepted one, or was until confirmGrace
 // ago.
-func (c *confirmations) lately(now time.Time, revision uint64) bool {
+func (c *confirmations) isRecent(now time.Time, revision uint64) bool {
 	if revision >= c.current {
 		return true
 	}
--- a/control/confirmation_test.go
+++ b/control/confirmation_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestConfirmationsAllowAMomentsDelay(t *testing.T) {
+func TestConfirmationsAllowAShortDelay(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	tests := map[string]struct {
 		revision uint64
@@ -22,9 +22,9 @@
 		t.Run(name, func(t *testing.T) {
 			var c confirmations
 			for _, accepted := range []uint64{5, 7, 9} {
-				c.note(start, accepted)
+				c.setCurrent(start, accepted)
 			}
-			if got := c.lately(start.Add(test.after), test.revision); got != test.want {
+			if got := c.isRecent(start.Add(test.after), test.revision); got != test.want {
 				t.Fatalf("revision %d after %v: %v", test.revision, test.after, got)
 			}
 		})
--- a/control/control.go
+++ b/control/control.go
@@ -42,7 +42,7 @@
 	// request may be sent only if the result is Won.
 	Claim(ctx context.Context, key claim.Key, holder claim.Holder) ClaimResult
 	// Settle records the outcome of a claim that was won. A Released outcome
-	// needs a proof that the request did not run.
+	// requires proof that the request did not run.
 	Settle(key claim.Key, holder claim.Holder, outcome claim.Outcome)
 	// Drain removes this instance from the addresses given to callers and notifies the
 	// other instances.
--- a/control/core.go
+++ b/control/core.go
@@ -23,7 +23,7 @@
 	log            logrus.FieldLogger
 	timing         Timing
 	self           membership.Instance
-	inTouch        bool      // the last sync succeeded
+	connected      bool      // the last sync succeeded
 	syncedAt       time.Time // time of the last successful sync
 	accepted       bool      // a leader has accepted a statement of this incarnation
 	defunct        bool      // another process has taken over the name
@@ -99,7 +99,7 @@
 	if c.group != nil {
 		c.fanout = newFanout(c)
 	}
-	return c, c.recall(n.clock.Now())
+	return c, c.loadRemembered(n.clock.Now())
 }
 
 // step performs all due work and returns when to call it again.
@@ -119,12 +119,12 @@
 	if c.fanout != nil {
 		next = earlier(next, c.fanout.step(now))
 	}
-	c.noteLease(now)
+	c.logLeaseChange(now)
 	return earlier(next, c.publishIfDue(now)), nil
 }
 
 // logLeaseChange logs when the lease is gained or lost.
-func (c *core) noteLease(now time.Time) {
+func (c *core) logLeaseChange(now time.Time) {
 	switch c.lease.change(now) {
 	case leaseGained:
 		eventLeaseGained.Log(c.log, event.Fields{"revision": c.installed.revision()})
@@ -142,9 +142,9 @@
 	if !news {
 		return
 	}
-	c.noteUpstream(a)
+	c.markUpstreamChanged(a)
 	if a.Leaving {
-		c.node.kickSync()
+		c.node.requestSync()
 	}
 }
 
@@ -155,9 +155,9 @@
 	switch {
 	case known && a.Incarnation < before.Incarnation:
 	case a.Leaving && (!known || !before.Leaving):
-		eventUpstreamLeaves.Log(c.log, upstreamFields(a))
+		eventUpstreamLeaving.Log(c.log, upstreamFields(a))
 	case !known || a.Incarnation > before.Incarnation:
-		eventUpstreamKnown.Log(c.log, upstreamFields(a))
+		eventUpstreamDiscovered.Log(c.log, upstreamFields(a))
 	}
 }
 
@@ -169,7 +169,7 @@
 
 // markUpstreamChanged schedules a new view with the upstream's change: at once if it is
 // leaving, otherwise within viewInterval.
-func (c *core) noteUpstream(a upstream.Announcement) {
+func (c *core) markUpstreamChanged(a upstream.Announcement) {
 	if a.Leaving {
 		c.views.dirty()
 		if c.fanout != nil {
--- a/control/delivery.go
+++ b/control/delivery.go
@@ -19,21 +19,21 @@
 // leader, many callers wait at once: if each of them searched for a leader on its own, the
 // load on the voters would keep them from electing one.
 type delivery struct {
-	noted   uint64 // last mark issued; every update up to it must reach a leader
-	taken   uint64 // highest mark that a leader has acknowledged
-	waiting map[chan struct{}]uint64
+	lastMark     uint64 // last mark issued; every update up to it must reach a leader
+	acknowledged uint64 // highest mark that a leader has acknowledged
+	waiting      map[chan struct{}]uint64
 }
 
 // nextMark issues a mark that covers every update known at the time of the call.
-func (d *delivery) note() uint64 {
-	d.noted++
-	return d.noted
+func (d *delivery) nextMark() uint64 {
+	d.lastMark++
+	return d.lastMark
 }
 
 // await returns a channel that is closed when a leader has acknowledged the mark.
 func (d *delivery) await(mark uint64) chan struct{} {
 	done := make(chan struct{})
-	if mark <= d.taken {
+	if mark <= d.acknowledged {
 		close(done)
 		return done
 	}
@@ -45,10 +45,10 @@
 }
 
 // acknowledge records that a leader has every update up to the mark.
-func (d *delivery) takenUpTo(mark uint64) {
-	d.taken = max(d.taken, mark)
+func (d *delivery) acknowledge(mark uint64) {
+	d.acknowledged = max(d.acknowledged, mark)
 	for done, wanted := range d.waiting {
-		if wanted <= d.taken {
+		if wanted <= d.acknowledged {
 			delete(d.waiting, done)
 			close(done)
 		}
@@ -63,12 +63,12 @@
 // getting no new requests after the acknowledgement. A successful sync alone does not
 // prove delivery: a voter that is asked for the first time lacks the earlier batches and
 // acknowledges nothing until it has been sent all of them.
-func (n *Node) passOn(ctx context.Context) error {
+func (n *Node) propagate(ctx context.Context) error {
 	if n.opts.Process.Voter {
 		return n.awaitDelivery(ctx)
 	}
 	var wanted uint64
-	err := n.do(ctx, func(now time.Time) { wanted = n.core.gathered(now) })
+	err := n.do(ctx, func(now time.Time) { wanted = n.core.gatherPosition(now) })
 	for err == nil {
 		synced := n.syncOnce(ctx, 0)
 		var taken bool
@@ -87,7 +87,7 @@
 
 // gatherPosition adds all pending announcements to a batch and returns the position of the
 // last batch.
-func (c *core) gathered(now time.Time) uint64 {
+func (c *core) gatherPosition(now time.Time) uint64 {
 	if err := c.out.gather(now); err != nil {
 		eventRelayFailed.Log(c.log, event.Fields{"error": err})
 	}
@@ -100,12 +100,12 @@
 	var done chan struct{}
 	err := n.do(ctx, func(time.Time) {
 		d := &n.core.fanout.delivery
-		done = d.await(d.note())
+		done = d.await(d.nextMark())
 	})
 	if err != nil {
 		return err
 	}
-	n.kickSync()
+	n.requestSync()
 	select {
 	case <-done:
 		return nil
--- a/control/delivery_test.go
+++ b/control/delivery_test.go
@@ -44,17 +44,17 @@
 	end()
 	waiting.Wait()
 	if calls := alone.node.clients.Stats().Calls.Load(); calls > engines/2 {
-		t.Errorf("%d engines that wait had %d calls sent to the other voters", engines, calls)
+		t.Errorf("%d waiting engines caused %d calls to the other voters", engines, calls)
 	}
 	var left int
 	if err := alone.node.do(t.Context(), func(time.Time) { left = len(alone.node.core.fanout.delivery.waiting) }); err != nil || left > 0 {
-		t.Errorf("%d that gave up are still kept, %v", left, err)
+		t.Errorf("%d waiters are still registered after their context ended, error %v", left, err)
 	}
 }
 
-func TestDeliveryEndsInOrder(t *testing.T) {
+func TestDeliveryCompletesInOrder(t *testing.T) {
 	var d delivery
-	first, second := d.await(d.note()), d.await(d.note())
+	first, second := d.await(d.nextMark()), d.await(d.nextMark())
 	ended := func(c chan struct{}) bool {
 		select {
 		case <-c:
@@ -63,51 +63,51 @@
 			return false
 		}
 	}
-	d.takenUpTo(1)
+	d.acknowledge(1)
 	if !ended(first) || ended(second) {
-		t.Error("a leader has the first and not the second, and the waits say otherwise")
+		t.Error("acknowledging the first mark must end the first wait only")
 	}
-	d.takenUpTo(0) // an older response that arrives late
+	d.acknowledge(0) // an older response that arrives late
 	if ended(second) {
-		t.Error("an older answer ended a wait")
+		t.Error("an older response ended a wait")
 	}
-	d.takenUpTo(2)
+	d.acknowledge(2)
 	if !ended(second) || !ended(d.await(2)) {
-		t.Error("a leader has all, and somebody waits")
+		t.Error("a wait continues although a leader has acknowledged every mark")
 	}
 }
 
 // Guards against acknowledging a leaving upstream although the response came from a voter
 // or a leader that lacks earlier batches and applied nothing.
-func TestAnswerOfWhoLacksEarlierBatchesIsNoDelivery(t *testing.T) {
+func TestAnswerLackingEarlierBatchesIsNoDelivery(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	c := newTestCore(t)
 	c.group = &group{core: c, machine: state.New()}
 	c.fanout = newFanout(c)
 	hear := func(sequence uint64) {
 		c.hear(now, upstream.Announcement{Name: "e", Incarnation: 1, Sequence: sequence, Address: "10.0.0.1:9", Targets: []string{"m"}, Leaving: sequence > 1})
-		c.gathered(now)
+		c.gatherPosition(now)
 	}
 	hear(1)
 	c.position = syncPosition{epoch: "old", heardUpTo: c.out.sender.Position()}
 	hear(2)
-	done := c.fanout.delivery.await(c.fanout.delivery.note())
+	done := c.fanout.delivery.await(c.fanout.delivery.nextMark())
 	answer := func(epoch string, upTo uint64) *searchAnswer {
 		request, _ := c.syncRequest(now, 0)
 		return &searchAnswer{target: "a", sentAt: now, request: &request, response: &syncResponse{Epoch: epoch, HeardUpTo: upTo}}
 	}
-	if err := c.takeSync(now, answer("new", 0)); err != nil {
+	if err := c.applySync(now, answer("new", 0)); err != nil {
 		t.Fatal(err)
 	}
 	if len(c.fanout.delivery.waiting) == 0 {
-		t.Error("it counts as delivered to a leader that took nothing")
+		t.Error("delivered, although the leader has applied nothing")
 	}
-	if err := c.takeSync(now, answer("new", c.out.sender.Position())); err != nil {
+	if err := c.applySync(now, answer("new", c.out.sender.Position())); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case <-done:
 	default:
-		t.Error("it does not count as delivered to a leader that has all")
+		t.Error("not delivered, although the leader has applied everything")
 	}
 }
--- a/control/disk_test.go
+++ b/control/disk_test.go
@@ -61,7 +61,7 @@
 	}
 	for _, m := range f.members {
 		if m != old {
-			f.awaitOne(m, second.Revision)
+			f.awaitInstalledAt(m, second.Revision)
 		}
 	}
 	f.awaitInForce(second.Revision)
@@ -88,7 +88,7 @@
 		return err == nil && failed != nil
 	})
 	full.disk.full.Store(false)
-	f.await("the voter has the change that it missed", func() bool {
+	f.await("the voter has caught up with the missed change", func() bool {
 		var current uint64
 		err := full.node.do(t.Context(), func(time.Time) {
 			if full.node.core.group.node != nil {
@@ -99,6 +99,6 @@
 	})
 	f.crash(f.leader())
 	if third := f.apply(second.Revision, "c", testTree(3)); third.Kind != state.Accepted {
-		t.Errorf("with the healed voter as the second of two: %+v", third)
+		t.Errorf("with the recovered voter as the second of two: %+v", third)
 	}
 }
--- a/control/documents_test.go
+++ b/control/documents_test.go
@@ -38,7 +38,7 @@
 	return found
 }
 
-func TestHighestVersionHoldsWhateverTheOrder(t *testing.T) {
+func TestHighestVersionWinsInAnyOrder(t *testing.T) {
 	// Two operators send documents at the same time, an acknowledgement is lost and the
 	// document is sent again to another instance, and an old document arrives late. If
 	// anything but the highest version came into force, an operator's change would be
@@ -78,21 +78,21 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if outcome, err := f.leader().node.PutDocument(ctx, 2, []byte("[nonsense")); err == nil {
-		t.Errorf("taken: %+v", outcome)
+		t.Errorf("accepted: %+v", outcome)
 	}
 	if found := f.readAccepted(f.members[0]); found.Revision.Version != 1 {
 		t.Errorf("version %d is accepted", found.Revision.Version)
 	}
 }
 
-func TestCutOffLeaderAnswersNoRead(t *testing.T) {
+func TestPartitionedLeaderAnswersNoRead(t *testing.T) {
 	// A leader is partitioned and does not know yet that the others have elected a new one
 	// and accepted a change. A read answered by it would show the operator the state
 	// before the change.
 	f := newFleet(t, 3, 0)
 	f.putDocument(f.members[0], 1, testTree(1))
 	old := f.leader()
-	f.network.cut(old.process.ControlListen)
+	f.network.partition(old.process.ControlListen)
 	var other *testNode
 	for _, m := range f.members {
 		if m != old {
@@ -103,6 +103,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
 	if found, err := old.node.ReadAccepted(ctx); err == nil && found.Revision.Version < 2 {
-		t.Errorf("the leader that was cut off read version %d", found.Revision.Version)
+		t.Errorf("the partitioned leader read version %d", found.Revision.Version)
 	}
 }
--- a/control/drain_test.go
+++ b/control/drain_test.go
@@ -29,7 +29,7 @@
 			t.Fatalf("after Drain the leader says %v", i.State)
 		}
 	}
-	f.await("everyone knows", func() bool {
+	f.await("every instance knows that it is draining", func() bool {
 		for _, i := range f.members[3].node.View().Instances {
 			if i.Name == draining.process.Name {
 				return i.State == membership.Draining
--- a/control/evidence.go
+++ b/control/evidence.go
@@ -16,10 +16,10 @@
 const (
 	// maxEvidence limits the evidence queued on an instance, and the evidence in one
 	// report.
-	mostEvidence = 256
+	maxEvidence = 256
 	// evidenceDelay is the time for which evidence is collected into one log entry, for
 	// instance when an upstream crashes with many requests running.
-	evidencePause = 10 * time.Millisecond
+	evidenceDelay = 10 * time.Millisecond
 	// evidenceTimeout limits one attempt to reach the leader.
 	evidenceTimeout = 2 * time.Second
 )
@@ -42,7 +42,7 @@
 
 func (n *Node) dropEvidence(dropped []quarantine.Evidence) {
 	if len(dropped) > 0 {
-		eventEvidenceDropped.Log(n.log, event.Fields{"dropped": len(dropped), "waiting": mostEvidence})
+		eventEvidenceDropped.Log(n.log, event.Fields{"dropped": len(dropped), "waiting": maxEvidence})
 	}
 }
 
@@ -59,7 +59,7 @@
 				waiting = append(waiting, e)
 			}
 		}
-		if !clock.Pause(ctx, evidencePause) {
+		if !clock.Pause(ctx, evidenceDelay) {
 			return ctx.Err()
 		}
 		waiting = n.gatherEvidence(waiting)
@@ -87,7 +87,7 @@
 			continue
 		default:
 		}
-		excess := max(0, len(waiting)-mostEvidence)
+		excess := max(0, len(waiting)-maxEvidence)
 		n.dropEvidence(waiting[:excess])
 		return waiting[excess:]
 	}
@@ -136,8 +136,8 @@
 }
 
 func (r *evidenceReport) check() error {
-	if len(r.Evidence) == 0 || len(r.Evidence) > mostEvidence {
-		return verdict.Refuse(verdict.ReasonBadRequest, 0, "%d pieces of evidence, want 1 to %d", len(r.Evidence), mostEvidence)
+	if len(r.Evidence) == 0 || len(r.Evidence) > maxEvidence {
+		return verdict.Refuse(verdict.ReasonBadRequest, 0, "%d pieces of evidence, want 1 to %d", len(r.Evidence), maxEvidence)
 	}
 	for i := range r.Evidence {
 		if r.Evidence[i].Outcome > quarantine.Answered {
--- a/control/evidence_batch.go
+++ b/control/evidence_batch.go
@@ -16,9 +16,9 @@
 	// an upstream crashes, several instances report the requests they had there. If each
 	// report were decided separately, a request that only ran beside the cause could be
 	// quarantined before it.
-	batchPause = 50 * time.Millisecond
+	batchDelay = 50 * time.Millisecond
 	// maxBatched limits the evidence in one log entry.
-	mostBatched = 4096
+	maxBatched = 4096
 )
 
 // evidenceBatch is evidence that a leader proposes in one entry.
@@ -42,7 +42,7 @@
 	var batch *evidenceBatch
 	err := n.whileLeading(ctx, func(_ time.Time, _ *group) error {
 		l := n.core.leader
-		if !l.votersRead(state.LogVersion) {
+		if !l.votersSupport(state.LogVersion) {
 			return errOldVoters
 		}
 		if l.evidence == nil {
@@ -50,7 +50,7 @@
 			go n.commitBatch(l)
 		}
 		batch = l.evidence
-		if len(batch.evidence)+len(evidence) > mostBatched {
+		if len(batch.evidence)+len(evidence) > maxBatched {
 			return errBatchFull
 		}
 		batch.evidence = append(batch.evidence, evidence...)
@@ -73,7 +73,7 @@
 func (n *Node) commitBatch(l *leader) {
 	ctx, cancel := context.WithTimeout(context.Background(), evidenceTimeout)
 	defer cancel()
-	clock.Pause(ctx, batchPause)
+	clock.Pause(ctx, batchDelay)
 	var batch *evidenceBatch
 	done := make(chan proposalResult, 1)
 	err := n.do(ctx, func(now time.Time) {
@@ -92,7 +92,7 @@
 }
 
 // votersSupport reports whether all live voters can read log entries of a version.
-func (l *leader) votersRead(version int) bool {
+func (l *leader) votersSupport(version int) bool {
 	for _, i := range l.table.Changed(0) {
 		if i.Voter && i.State != membership.Gone && i.LogVersion < version {
 			return false
--- a/control/evidence_test.go
+++ b/control/evidence_test.go
@@ -86,13 +86,13 @@
 		return membership.Instance{Name: name, Incarnation: 1, Voter: true, LogVersion: version}
 	}
 	l.table.Heard(began, voter("upgraded", state.LogVersion))
-	l.table.Heard(began, membership.Instance{Name: "forwards only", Incarnation: 1})
-	if !l.votersRead(state.LogVersion) {
-		t.Error("all voters are upgraded")
+	l.table.Heard(began, membership.Instance{Name: "not a voter", Incarnation: 1})
+	if !l.votersSupport(state.LogVersion) {
+		t.Error("evidence is held back although all voters are upgraded")
 	}
 	l.table.Heard(began, voter("old", 0))
-	if l.votersRead(state.LogVersion) {
-		t.Error("an old voter would stop")
+	if l.votersSupport(state.LogVersion) {
+		t.Error("evidence is proposed although an old voter cannot decode it")
 	}
 }
 
@@ -121,16 +121,16 @@
 		old = f.members[1]
 	}
 	f.stateLogVersion(old, 0)
-	f.await("the leader knows of the old voter", func() bool {
+	f.await("the leader knows the old voter", func() bool {
 		known := false
 		_ = leader.node.do(t.Context(), func(time.Time) {
-			known = leader.node.core.leader != nil && !leader.node.core.leader.votersRead(state.LogVersion)
+			known = leader.node.core.leader != nil && !leader.node.core.leader.votersSupport(state.LogVersion)
 		})
 		return known
 	})
 	evidence := []quarantine.Evidence{{Request: lethal, Outcome: quarantine.EndedStarted, Upstream: 1}}
 	if err := leader.node.proposeEvidence(t.Context(), evidence); !errors.Is(err, errOldVoters) {
-		t.Errorf("beside an old voter: %v", err)
+		t.Errorf("with an old voter: %v", err)
 	}
 	f.reportCrashes(f.members[3:])
 	f.stateLogVersion(old, state.LogVersion)
@@ -142,7 +142,7 @@
 	t.Parallel()
 	f := newFleet(t, 1, 0)
 	node := f.members[0].node
-	long := evidenceReport{Evidence: make([]quarantine.Evidence, mostEvidence+1)}
+	long := evidenceReport{Evidence: make([]quarantine.Evidence, maxEvidence+1)}
 	unknown := evidenceReport{Evidence: []quarantine.Evidence{{Outcome: quarantine.Answered + 1}}}
 	for name, report := range map[string]evidenceReport{"empty": {}, "long": long, "unknown outcome": unknown} {
 		body, err := encode(report)
--- a/control/failure_test.go
+++ b/control/failure_test.go
@@ -17,16 +17,16 @@
 	first := f.apply(0, "a", testTree(1))
 	f.awaitInForce(first.Revision)
 	lost := f.members[4]
-	f.network.cut(lost.process.ControlListen)
+	f.network.partition(lost.process.ControlListen)
 	second := f.apply(first.Revision, "b", testTree(2))
 	f.awaitInForce(second.Revision)
 	if until := lost.node.View().LeaseUntil; time.Now().Before(until) {
 		t.Fatalf("in force while the isolated instance holds a lease for %v more", time.Until(until))
 	}
 	if lost.node.View().Tree.Revision != first.Revision {
-		t.Fatal("the cut did not hold")
+		t.Fatal("the isolated instance was not isolated")
 	}
-	f.network.heal(lost.process.ControlListen)
+	f.network.reconnect(lost.process.ControlListen)
 	f.awaitInstalled(second.Revision)
 }
 
@@ -41,7 +41,7 @@
 	f.awaitInstalled(first.Revision)
 	old := f.leader()
 	friend := f.members[3]
-	f.network.cut(old.process.ControlListen, friend.process.ControlListen)
+	f.network.partition(old.process.ControlListen, friend.process.ControlListen)
 	second := f.apply(first.Revision, "b", testTree(2))
 	f.awaitInForce(second.Revision)
 	for _, m := range []*testNode{old, friend} {
@@ -50,12 +50,12 @@
 			t.Fatalf("%s still admits by revision %d", m.process.Name, v.Tree.Revision)
 		}
 	}
-	f.awaitOne(friend, second.Revision)
-	f.network.heal(old.process.ControlListen)
+	f.awaitInstalledAt(friend, second.Revision)
+	f.network.reconnect(old.process.ControlListen)
 	f.awaitInstalled(second.Revision)
 }
 
-func TestFrozenLeaderGrantsNothing(t *testing.T) {
+func TestSuspendedLeaderGrantsNothing(t *testing.T) {
 	// The leader's process is suspended while it works and resumes long after the others
 	// have elected a new leader. If it answered the syncs in its queue with leases, their
 	// senders would admit requests by settings that may have been replaced.
@@ -71,7 +71,7 @@
 		woken = n.core.leader.answer(now.Add(time.Minute), request)
 	})
 	if err != nil || awake.LeaseMs == 0 || woken.LeaseMs != 0 {
-		t.Fatalf("lease %d ms awake, %d ms after a freeze (%v)", awake.LeaseMs, woken.LeaseMs, err)
+		t.Fatalf("lease %d ms before the suspension, %d ms after it (%v)", awake.LeaseMs, woken.LeaseMs, err)
 	}
 }
 
--- a/control/fanout.go
+++ b/control/fanout.go
@@ -31,8 +31,8 @@
 	leaving bool             // an upstream is leaving, so the next batch must not be delayed
 	urgent  uint64           // last batch that could not be delayed
 
-	delivery delivery // updates that a leader must acknowledge
-	left     uint64   // mark of the last leaving upstream that an attached instance reported
+	delivery    delivery // updates that a leader must acknowledge
+	leavingMark uint64   // mark of the last leaving upstream that an attached instance reported
 }
 
 func newFanout(c *core) *fanout {
@@ -48,18 +48,18 @@
 // connected reports whether this voter is in contact with a leader. A voter that is not
 // may be partitioned from the others and lack the latest settings, while its attached
 // instances can still reach the other voters.
-func (f *fanout) inTouch(now time.Time) bool {
-	return f.core.inTouch && now.Sub(f.core.syncedAt) <= f.core.timing.Touch
+func (f *fanout) connected(now time.Time) bool {
+	return f.core.connected && now.Sub(f.core.syncedAt) <= f.core.timing.Contact
 }
 
 // accept processes a sync and holds it until there is a change.
 func (f *fanout) accept(now, arrivedAt time.Time, request *syncRequest, reply chan<- *syncResponse) {
 	if request.Probe {
 		revision, _ := f.core.newestText()
-		reply <- &syncResponse{Leader: f.core.self.ControlAddress, Epoch: f.epoch, Revision: revision, Detached: !f.inTouch(now)}
+		reply <- &syncResponse{Leader: f.core.self.ControlAddress, Epoch: f.epoch, Revision: revision, Detached: !f.connected(now)}
 		return
 	}
-	if !f.complete(request) {
+	if !f.resolveBrief(request) {
 		reply <- &syncResponse{Restate: true}
 		return
 	}
@@ -69,17 +69,17 @@
 		return
 	}
 	if news {
-		f.core.node.kickSync()
+		f.core.node.requestSync()
 	}
 	wait := time.Duration(request.WaitMs) * time.Millisecond
 	p := poll{request: request, arrivedAt: arrivedAt, due: now.Add(min(wait, f.core.timing.Sync)), reply: reply}
-	p.heardUpTo = f.takeHeard(now, &p)
-	p.leaves = len(request.heard) > 0 && f.left > f.delivery.taken
+	p.heardUpTo = f.receiveHeard(now, &p)
+	p.mayAnnounceLeaving = len(request.heard) > 0 && f.leavingMark > f.delivery.acknowledged
 	f.polls = append(f.polls, p)
 }
 
 // resolveBrief fills in the fields that a brief statement omits.
-func (f *fanout) complete(request *syncRequest) bool {
+func (f *fanout) resolveBrief(request *syncRequest) bool {
 	brief := request.Brief
 	if brief == nil {
 		return true
@@ -94,17 +94,17 @@
 
 // receiveHeard processes the announcements received by an attached instance, which are
 // forwarded to the leader like those that this voter received itself.
-func (f *fanout) takeHeard(now time.Time, p *poll) uint64 {
-	relayed, position := takeInbox(f.inboxes, now, p)
+func (f *fanout) receiveHeard(now time.Time, p *poll) uint64 {
+	relayed, position := receiveInbox(f.inboxes, now, p)
 	for _, r := range relayed {
 		f.core.logUpstream(r.Announcement)
 		f.core.heard.HearRelayed(now, r)
 		if !f.core.known.HearRelayed(now, r) {
 			continue
 		}
-		f.core.noteUpstream(r.Announcement)
+		f.core.markUpstreamChanged(r.Announcement)
 		if r.Announcement.Leaving {
-			f.left = f.delivery.note()
+			f.leavingMark = f.delivery.nextMark()
 		}
 	}
 	return position
@@ -112,14 +112,14 @@
 
 // step answers the syncs that are due and returns when to call it again.
 func (f *fanout) step(now time.Time) time.Time {
-	f.spread(now)
+	f.broadcast(now)
 	next := now.Add(maxWait)
 	if f.out.registry.Version() != f.out.version {
 		next = earlier(next, f.out.at.Add(relayInterval))
 	}
 	revision, _ := f.core.newestText()
 	f.polls, next = answerDue(now, f.polls, next, func(p *poll) *syncResponse {
-		if now.Before(p.due) && !p.leaves && !f.hasNews(p.request, revision) {
+		if now.Before(p.due) && !p.mayAnnounceLeaving && !f.hasUpdates(p.request, revision) {
 			return nil
 		}
 		return f.answer(now, p)
@@ -144,11 +144,11 @@
 	return held, next
 }
 
-// hasNews reports whether an instance must be answered at once: because of new settings, a
+// hasUpdates reports whether an instance must be answered at once: because of new settings, a
 // leaving upstream, or a change of the quarantined requests. Instances that join or leave
 // wait for the next response. Otherwise, when a whole fleet starts, each instance would
 // wake all the others.
-func (f *fanout) hasNews(r *syncRequest, revision uint64) bool {
+func (f *fanout) hasUpdates(r *syncRequest, revision uint64) bool {
 	return r.Epoch != f.epoch || r.Instance.Revision < revision || r.Upstreams < f.urgent || f.core.group.quarantineAfter(r) != nil
 }
 
@@ -160,17 +160,17 @@
 	}
 	revision, text := f.core.newestText()
 	response := &syncResponse{
-		Leader:    f.core.self.ControlAddress,
-		Epoch:     f.epoch,
-		Revision:  revision,
-		Members:   f.membersSince(members),
-		MembersAt: f.core.members.revision,
-		Settled:   f.core.members.settled,
-		HeardUpTo: p.heardUpTo,
-		HeldMs:    now.Sub(p.arrivedAt).Milliseconds(),
-		Detached:  !f.inTouch(now),
-		Taken:     f.roster.IsTaken(r.Instance.Name),
-		leaves:    p.leaves,
+		Leader:             f.core.self.ControlAddress,
+		Epoch:              f.epoch,
+		Revision:           revision,
+		Members:            f.membersSince(members),
+		MembersAt:          f.core.members.revision,
+		Settled:            f.core.members.settled,
+		HeardUpTo:          p.heardUpTo,
+		HeldMs:             now.Sub(p.arrivedAt).Milliseconds(),
+		Detached:           !f.connected(now),
+		Accepted:           f.roster.IsTaken(r.Instance.Name),
+		mayAnnounceLeaving: p.mayAnnounceLeaving,
 
 		Quarantine: f.core.group.quarantineAfter(r),
 	}
@@ -210,7 +210,7 @@
 
 // broadcast adds a batch of upstream changes when one is due, and at once if an upstream
 // is leaving.
-func (f *fanout) spread(now time.Time) {
+func (f *fanout) broadcast(now time.Time) {
 	if !f.leaving && !f.out.due(now) {
 		return
 	}
--- a/control/fanout_bench_test.go
+++ b/control/fanout_bench_test.go
@@ -30,7 +30,7 @@
 			AvailabilityZone: "sala-ortigia", Slots: 10, Version: "v1",
 		})
 	}
-	c.fanout.spread(now)
+	c.fanout.broadcast(now)
 	size := 0
 	for b.Loop() {
 		reply := make(chan *syncResponse, 1)
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -166,7 +166,7 @@
 	for !condition() {
 		select {
 		case <-deadline.C:
-			f.t.Fatalf("never: %s", what)
+			f.t.Fatalf("timed out waiting for: %s", what)
 		case <-tick.C:
 		}
 	}
@@ -225,9 +225,9 @@
 
 // crash ends a node without notifying the others.
 func (f *fleet) crash(n *testNode) {
-	f.network.cut(n.process.ControlListen)
+	f.network.partition(n.process.ControlListen)
 	n.halt()
-	f.network.heal(n.process.ControlListen)
+	f.network.reconnect(n.process.ControlListen)
 }
 
 // awaitInstalled waits until every running node has installed the revision.
@@ -235,7 +235,7 @@
 	f.t.Helper()
 	for _, m := range f.members {
 		if m.stop != nil {
-			f.awaitOne(m, revision)
+			f.awaitInstalledAt(m, revision)
 		}
 	}
 }
@@ -250,8 +250,8 @@
 	})
 }
 
-// awaitOne waits until a node has installed the revision.
-func (f *fleet) awaitOne(m *testNode, revision uint64) {
+// awaitInstalledAt waits until a node has installed the revision.
+func (f *fleet) awaitInstalledAt(m *testNode, revision uint64) {
 	f.t.Helper()
 	f.await(fmt.Sprintf("revision %d at %s", revision, m.process.Name), func() bool {
 		v := m.node.View()
--- a/control/fleetanswer.go
+++ b/control/fleetanswer.go
@@ -22,11 +22,11 @@
 }
 
 // fleetAnswerTTL is how long a compressed fleet is reused.
-const fleetAnswerKept = 250 * time.Millisecond
+const fleetAnswerTTL = 250 * time.Millisecond
 
 // currentFleet returns the fleet known to this instance.
-func (c *core) fleetToTell(now time.Time) fleetAnswer {
-	if c.fleetAnswer.packed != nil && now.Sub(c.fleetAnswer.at) < fleetAnswerKept {
+func (c *core) currentFleet(now time.Time) fleetAnswer {
+	if c.fleetAnswer.packed != nil && now.Sub(c.fleetAnswer.at) < fleetAnswerTTL {
 		return c.fleetAnswer
 	}
 	if c.views.urgent {
--- a/control/founding.go
+++ b/control/founding.go
@@ -40,7 +40,7 @@
 	}
 	eventFounding.Log(n.log, event.Fields{"voters": n.opts.Process.Voters})
 	for {
-		founding, decided := n.found(ctx)
+		founding, decided := n.decideFounding(ctx)
 		if decided {
 			var err error
 			return errors.CombineErrors(n.do(ctx, func(time.Time) { err = n.core.group.begin(founding) }), err)
@@ -51,9 +51,9 @@
 	}
 }
 
-// found asks all voters and returns the founding configuration, or an empty one if this
+// decideFounding asks all voters and returns the founding configuration, or an empty one if this
 // voter is not a member.
-func (n *Node) found(ctx context.Context) (consensus.Configuration, bool) {
+func (n *Node) decideFounding(ctx context.Context) (consensus.Configuration, bool) {
 	var all consensus.Configuration
 	complete := true
 	for _, voter := range n.opts.Process.Voters {
@@ -102,7 +102,7 @@
 		return nil, err
 	}
 	if hello.ID == "" {
-		return nil, errNoVoterHere
+		return nil, errNotVoter
 	}
 	return json.Marshal(hello)
 }
--- a/control/grants.go
+++ b/control/grants.go
@@ -26,24 +26,24 @@
 type statement struct {
 	demand []quota.Demand
 	at     time.Time
-	handed []handed // grants that it may be using or may still receive, oldest first
+	issued []issuedGrants // grants that it may be using or may still receive, oldest first
 }
 
 // issuedGrants are the grants sent in one response.
-type handed struct {
+type issuedGrants struct {
 	number uint64 // allocation round
 	grants []quota.Grant
 	at     time.Time
 }
 
 // prune removes issued grants that the instance will not use any more.
-func (s *statement) drop(gone func(handed) bool) { s.handed = slices.DeleteFunc(s.handed, gone) }
+func (s *statement) prune(gone func(issuedGrants) bool) { s.issued = slices.DeleteFunc(s.issued, gone) }
 
 // outstanding returns the grants that the instance may use in addition to those that it
 // has confirmed.
 func (s *statement) outstanding() []quota.Grant {
 	var all []quota.Grant
-	for _, h := range s.handed {
+	for _, h := range s.issued {
 		all = append(all, h.grants...)
 	}
 	return all
@@ -56,32 +56,32 @@
 // recordDemand records an instance's demand. seen is the round of the grants in use: the
 // instance never returns to an earlier round, but responses of later rounds may still be
 // in transit. Pruning those as well would grant the same share twice.
-func (a *allocation) state(now time.Time, instance string, demand []quota.Demand, seen uint64) {
+func (a *allocation) recordDemand(now time.Time, instance string, demand []quota.Demand, seen uint64) {
 	s := a.statements[instance]
 	if s == nil {
 		s = &statement{}
 		a.statements[instance] = s
 	}
 	s.demand, s.at = demand, now
-	s.drop(func(h handed) bool { return h.number <= seen })
+	s.prune(func(h issuedGrants) bool { return h.number <= seen })
 }
 
 // issue returns the grants of an instance and their allocation round.
-func (a *allocation) hand(now time.Time, instance string, tree *settings.Tree) ([]quota.Grant, uint64) {
+func (a *allocation) issue(now time.Time, instance string, tree *settings.Tree) ([]quota.Grant, uint64) {
 	if now.Sub(a.at) >= allocateInterval {
-		a.divide(now, tree)
+		a.reallocate(now, tree)
 	}
 	s := a.statements[instance]
 	if s == nil {
 		return nil, a.number
 	}
 	grants := a.grants[instance]
-	s.handed = append(s.handed, handed{number: a.number, grants: grants, at: now})
+	s.issued = append(s.issued, issuedGrants{number: a.number, grants: grants, at: now})
 	return grants, a.number
 }
 
 // reallocate divides the limits between the instances that synced within the last lease.
-func (a *allocation) divide(now time.Time, tree *settings.Tree) {
+func (a *allocation) reallocate(now time.Time, tree *settings.Tree) {
 	a.expire(now)
 	statements := make([]quota.Statement, 0, len(a.statements))
 	for name, s := range a.statements {
@@ -97,8 +97,8 @@
 
 func (a *allocation) expire(now time.Time) {
 	for name, s := range a.statements {
-		s.drop(func(h handed) bool { return now.Sub(h.at) > a.lease })
-		if now.Sub(s.at) > a.lease && len(s.handed) == 0 {
+		s.prune(func(h issuedGrants) bool { return now.Sub(h.at) > a.lease })
+		if now.Sub(s.at) > a.lease && len(s.issued) == 0 {
 			delete(a.statements, name)
 		}
 	}
@@ -125,5 +125,5 @@
 	if !l.table.Settled(now) {
 		return nil, 0
 	}
-	return l.allocation.hand(now, instance, l.core.installed.tree)
+	return l.allocation.issue(now, instance, l.core.installed.tree)
 }
--- a/control/grants_test.go
+++ b/control/grants_test.go
@@ -30,14 +30,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a := newAllocation(lease + margin)
 		holders := map[string]*holder{"i1": {}, "i2": {}}
-		var onTheWay []answer
+		var inTransit []answer
 		now := time.Unix(1_800_000_000, 0)
 		for range rapid.IntRange(20, 80).Draw(t, "steps") {
 			now = now.Add(rapid.SampledFrom([]time.Duration{0, allocateInterval / 2, allocateInterval}).Draw(t, "pause"))
-			if len(onTheWay) > 0 && rapid.Bool().Draw(t, "arrives") {
-				at := rapid.IntRange(0, len(onTheWay)-1).Draw(t, "which")
-				next := onTheWay[at]
-				onTheWay = slices.Delete(onTheWay, at, at+1)
+			if len(inTransit) > 0 && rapid.Bool().Draw(t, "arrives") {
+				at := rapid.IntRange(0, len(inTransit)-1).Draw(t, "which")
+				next := inTransit[at]
+				inTransit = slices.Delete(inTransit, at, at+1)
 				if len(next.grants) > 0 && next.number >= next.to.seen {
 					next.to.grant, next.to.seen = uint64(next.grants[0].InFlight), next.number
 					next.to.until = next.sentAt.Add(lease)
@@ -48,11 +48,11 @@
 				if !now.Before(h.until) {
 					h.grant = 0
 				}
-				a.state(now, name, []quota.Demand{{
+				a.recordDemand(now, name, []quota.Demand{{
 					Organisation: "o", Waiting: rapid.SampledFrom([]int{0, 5, 30}).Draw(t, "waiting"), GrantedInFlight: int(h.grant),
 				}}, h.seen)
-				grants, number := a.hand(now, name, tree)
-				onTheWay = append(onTheWay, answer{h, now, grants, number})
+				grants, number := a.issue(now, name, tree)
+				inTransit = append(inTransit, answer{h, now, grants, number})
 			}
 			total := uint64(0)
 			for _, other := range holders {
@@ -61,7 +61,7 @@
 				}
 			}
 			if total > limit {
-				t.Fatalf("the instances may run %d of %d", total, limit)
+				t.Fatalf("the instances may admit %d of %d", total, limit)
 			}
 		}
 	})
--- a/control/group.go
+++ b/control/group.go
@@ -36,7 +36,7 @@
 }
 
 // idleWait is the time until the next step when nothing is scheduled.
-const farAway = time.Hour
+const idleWait = time.Hour
 
 // start begins to take part in consensus. A voter without an initial configuration waits
 // until a leader contacts it.
@@ -77,7 +77,7 @@
 		}
 	}
 	if g.node == nil {
-		return now.Add(farAway), nil
+		return now.Add(idleWait), nil
 	}
 	g.compactIfDue(now)
 	return g.node.NextTick(), nil
@@ -129,7 +129,7 @@
 	g.core.node.claimVoter.enter(g.machine.Epoch())
 	g.appliedTerm = s.Term
 	g.compacted = s.Index
-	g.proposals.overtaken(s.Index)
+	g.proposals.completeCovered(s.Index)
 	return nil
 }
 
--- a/control/heal.go
+++ b/control/heal.go
@@ -16,7 +16,7 @@
 
 // healDelay is how long a new leader waits for the instances to report before it considers
 // a voter dead. It exceeds the longest hold of a sync (500 ms).
-const healPatience = 700 * time.Millisecond
+const healDelay = 700 * time.Millisecond
 
 // heal performs the next step that repairs the set of voters, if the leader maintains it
 // automatically, and returns when to check again.
@@ -29,7 +29,7 @@
 		return l.healAt
 	}
 	l.healAt = now.Add(healInterval)
-	if now.Sub(l.since) < healPatience {
+	if now.Sub(l.since) < healDelay {
 		return l.healAt
 	}
 	status := l.core.group.node.Status()
@@ -41,7 +41,7 @@
 		return l.healAt
 	}
 	if err := l.core.group.node.ProposeConfig(now, next); err != nil {
-		l.noteRefusedRepair(err)
+		l.logRefusedRepair(err)
 		return l.healAt
 	}
 	eventVoterRepair.Log(l.core.log, event.Fields{"step": why, "voters": next.Voters, "learners": next.Learners})
@@ -49,9 +49,9 @@
 }
 
 // logRefusedRepair logs a refusal that is not transient.
-func (l *leader) noteRefusedRepair(err error) {
+func (l *leader) logRefusedRepair(err error) {
 	var refused *consensus.RefusedError
-	if errors.As(err, &refused) && passing(err) {
+	if errors.As(err, &refused) && transient(err) {
 		return
 	}
 	eventVoterRepairRefused.Log(l.core.log, event.Fields{"error": err})
--- a/control/hearing.go
+++ b/control/hearing.go
@@ -23,13 +23,13 @@
 }
 
 // nameBufferSize is the buffer size in bytes for the names of an upstream and an instance.
-const usualNames = 128
+const nameBufferSize = 128
 
 func hearingAddress(instances []membership.Instance, name, availabilityZone string) string {
 	var best string
 	var bestNear bool
 	var most uint64
-	both := append(make([]byte, 0, usualNames), name...)
+	both := append(make([]byte, 0, nameBufferSize), name...)
 	both = append(both, ' ')
 	for i := range instances {
 		one := &instances[i]
--- a/control/installed.go
+++ b/control/installed.go
@@ -48,7 +48,7 @@
 	if err := json.Unmarshal(data, &record); err != nil {
 		return errors.Wrap(err, "the installed settings are damaged")
 	}
-	return i.take(record.Revision, record.Text)
+	return i.activate(record.Revision, record.Text)
 }
 
 // install installs a newer revision. A revision that is not newer is ignored, because a
@@ -57,19 +57,19 @@
 	if revision <= i.revision() {
 		return nil
 	}
-	tree, err := i.parsed(revision, text)
+	tree, err := i.parseRevision(revision, text)
 	if err != nil {
 		return err
 	}
-	if err := i.keep(revision, text); err != nil {
+	if err := i.persist(revision, text); err != nil {
 		return err
 	}
 	i.tree, i.text = tree, text
 	return nil
 }
 
-func (i *installed) take(revision uint64, text []byte) error {
-	tree, err := i.parsed(revision, text)
+func (i *installed) activate(revision uint64, text []byte) error {
+	tree, err := i.parseRevision(revision, text)
 	if err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func (i *installed) parsed(revision uint64, text []byte) (*settings.Tree, error) {
+func (i *installed) parseRevision(revision uint64, text []byte) (*settings.Tree, error) {
 	tree, err := i.parse("accepted settings", text)
 	if err != nil {
 		return nil, errors.Wrapf(err, "revision %d", revision)
@@ -86,7 +86,7 @@
 	return tree, nil
 }
 
-func (i *installed) keep(revision uint64, text []byte) error {
+func (i *installed) persist(revision uint64, text []byte) error {
 	data, err := json.Marshal(installedRecord{Revision: revision, Text: text})
 	if err != nil {
 		return errors.Wrap(err, "encode the installed settings")
--- a/control/issuer.go
+++ b/control/issuer.go
@@ -13,13 +13,13 @@
 // maintainIssuer makes this leader the issuer of engine orders, once in each of its terms,
 // and publishes how long it may issue them. Every leader becomes the issuer by an entry in
 // the log, so the fencing number grows with each.
-func (l *leader) keepIssuer(now time.Time) {
+func (l *leader) maintainIssuer(now time.Time) {
 	g := l.core.group
 	issuer := g.machine.Issuer()
 	mine := issuer.Holder == l.core.self.Name && issuer.Incarnation == l.core.self.Incarnation &&
 		issuer.Fence.Term == l.term
 	if !mine {
-		l.takeIssuer(now)
+		l.proposeIssuer(now)
 		return
 	}
 	if l.issuerAt.IsZero() {
@@ -32,7 +32,7 @@
 	})
 }
 
-func (l *leader) takeIssuer(now time.Time) {
+func (l *leader) proposeIssuer(now time.Time) {
 	if l.issuerAsked {
 		return
 	}
--- a/control/leader.go
+++ b/control/leader.go
@@ -38,9 +38,9 @@
 	due       time.Time
 	reply     chan<- *syncResponse
 
-	unknown    []string          // attached instances that must be stated in full
-	superseded map[string]uint64 // attached instances of which a higher incarnation is known, with that incarnation
-	leaves     bool              // it may announce a leaving upstream that the leader does not have yet
+	unknown            []string          // attached instances that must be stated in full
+	superseded         map[string]uint64 // attached instances of which a higher incarnation is known, with that incarnation
+	mayAnnounceLeaving bool              // it may announce a leaving upstream that the leader does not have yet
 }
 
 func newLeader(now time.Time, c *core, term uint64) *leader {
@@ -65,19 +65,19 @@
 		leads, term = c.group.leads()
 	}
 	if c.leader != nil && (!leads || c.leader.term != term) {
-		eventFollowing.Log(c.log, event.Fields{"term": c.leader.term})
-		c.leader.dismiss()
+		eventLeadershipLost.Log(c.log, event.Fields{"term": c.leader.term})
+		c.leader.redirectPolls()
 		c.leader = nil
 	}
 	if c.leader == nil && leads {
-		eventLeading.Log(c.log, event.Fields{"term": term})
+		eventElected.Log(c.log, event.Fields{"term": term})
 		c.leader = newLeader(now, c, term)
 		c.position.leader = c.self.ControlAddress
 	}
 }
 
 // redirectPolls answers the held syncs when this voter no longer leads.
-func (l *leader) dismiss() {
+func (l *leader) redirectPolls() {
 	l.core.node.issuer.Store(nil)
 	for _, p := range l.polls {
 		p.reply <- &syncResponse{Redirect: true}
@@ -87,7 +87,7 @@
 
 // accept processes a sync and answers or holds it.
 func (l *leader) accept(now, arrivedAt time.Time, request *syncRequest, reply chan<- *syncResponse) {
-	if !l.complete(request) {
+	if !l.resolveBrief(request) {
 		reply <- &syncResponse{Restate: true}
 		return
 	}
@@ -98,16 +98,16 @@
 	if request.Brief == nil {
 		l.ids[request.Instance.Name] = request.VoterID
 	}
-	l.allocation.state(now, request.Instance.Name, request.Demand, request.Grants)
+	l.allocation.recordDemand(now, request.Instance.Name, request.Demand, request.Grants)
 	wait := time.Duration(request.WaitMs) * time.Millisecond
 	p := poll{request: request, arrivedAt: arrivedAt, due: now.Add(min(wait, l.core.timing.Sync)), reply: reply}
-	p.heardUpTo = l.takeHeard(now, &p)
+	p.heardUpTo = l.receiveHeard(now, &p)
 	p.unknown, p.superseded = l.acceptAttached(now, request.Attached)
 	l.polls = append(l.polls, p)
 }
 
 // resolveBrief fills in the fields that a brief statement omits.
-func (l *leader) complete(request *syncRequest) bool {
+func (l *leader) resolveBrief(request *syncRequest) bool {
 	brief := request.Brief
 	if brief == nil {
 		return true
@@ -123,13 +123,13 @@
 // step answers the syncs that are due and returns when to call it again.
 func (l *leader) step(now time.Time) time.Time {
 	l.table.Expire(now)
-	l.noteInForce(now)
-	l.keepIssuer(now)
+	l.logInForce(now)
+	l.maintainIssuer(now)
 	l.applyInitialTree(now)
 	next := l.heal(now)
-	l.core.fanout.spread(now)
+	l.core.fanout.broadcast(now)
 	l.polls, next = answerDue(now, l.polls, next, func(p *poll) *syncResponse {
-		if now.Before(p.due) && !l.hasNews(p) {
+		if now.Before(p.due) && !l.hasUpdates(p) {
 			return nil
 		}
 		return l.answer(now, p)
@@ -137,9 +137,9 @@
 	return next
 }
 
-// hasNews reports whether an instance must be answered at once. A voter with attached
+// hasUpdates reports whether an instance must be answered at once. A voter with attached
 // instances gets every batch of upstreams, because these receive it with a further delay.
-func (l *leader) hasNews(p *poll) bool {
+func (l *leader) hasUpdates(p *poll) bool {
 	r, out := p.request, l.core.fanout
 	return r.Epoch != l.epoch || len(p.unknown) > 0 ||
 		r.Instance.Revision < l.core.group.machine.Current().Number ||
@@ -179,8 +179,8 @@
 	if r.Instance.Revision < response.Revision {
 		response.Text = group.machine.Text()
 	}
-	l.confirmed.note(now, response.Revision)
-	if group.leaseValid(now) && r.Instance.State != membership.Gone && l.confirmed.lately(now, r.Instance.Revision) {
+	l.confirmed.setCurrent(now, response.Revision)
+	if group.leaseValid(now) && r.Instance.State != membership.Gone && l.confirmed.isRecent(now, r.Instance.Revision) {
 		response.LeaseMs = l.core.timing.Membership.Lease.Milliseconds()
 		l.table.Granted(now, r.Instance.Name)
 	}
@@ -198,7 +198,7 @@
 }
 
 // logInForce logs a revision when it is first seen in force on every instance.
-func (l *leader) noteInForce(now time.Time) {
+func (l *leader) logInForce(now time.Time) {
 	current := l.core.group.machine.Current().Number
 	if current <= l.inForce || !l.table.InForce(now, current) {
 		return
--- a/control/memberlist.go
+++ b/control/memberlist.go
@@ -15,7 +15,7 @@
 // given to callers forever. Therefore, once the new leader has led long enough to know
 // every live instance, those that it has never named are marked as gone.
 type memberList struct {
-	byName  map[string]listed
+	byName  map[string]memberEntry
 	sorted  []membership.Instance // nil after a change
 	settled bool                  // the current leader knows every live instance
 
@@ -23,18 +23,18 @@
 }
 
 // memberEntry is one instance of the list.
-type listed struct {
+type memberEntry struct {
 	instance  membership.Instance
 	named     bool      // by the current leader
 	goneSince time.Time // zero: not gone
 	changed   uint64    // revision of the list at the last change that others must learn
 }
 
-func newMemberList() memberList { return memberList{byName: map[string]listed{}} }
+func newMemberList() memberList { return memberList{byName: map[string]memberEntry{}} }
 
 // startEpoch prepares for the updates of another leader. The instances named by the former
 // one are kept, because an empty list would leave callers without addresses.
-func (l *memberList) follow() {
+func (l *memberList) startEpoch() {
 	l.settled = false
 	for name, entry := range l.byName {
 		entry.named = false
@@ -48,7 +48,7 @@
 		entry := l.byName[i.Name]
 		entry.named = true
 		if entry.instance.Incarnation <= i.Incarnation {
-			l.touch(&entry, i)
+			l.markChanged(&entry, i)
 			entry.set(now, i)
 		}
 		l.byName[i.Name] = entry
@@ -57,11 +57,11 @@
 }
 
 // addUnknown adds remembered instances that are not in the list yet.
-func (l *memberList) assume(now time.Time, instances []membership.Instance) {
+func (l *memberList) addUnknown(now time.Time, instances []membership.Instance) {
 	for _, i := range instances {
 		if _, known := l.byName[i.Name]; !known {
-			var entry listed
-			l.touch(&entry, i)
+			var entry memberEntry
+			l.markChanged(&entry, i)
 			entry.set(now, i)
 			l.byName[i.Name] = entry
 			l.sorted = nil
@@ -71,7 +71,7 @@
 
 // markChanged records that an entry is about to change, unless only its confirmed revision
 // changes, which others need not learn.
-func (l *memberList) touch(entry *listed, i membership.Instance) {
+func (l *memberList) markChanged(entry *memberEntry, i membership.Instance) {
 	old := entry.instance
 	old.Revision = i.Revision
 	if old != i {
@@ -95,7 +95,7 @@
 	return found
 }
 
-func (e *listed) set(now time.Time, i membership.Instance) {
+func (e *memberEntry) set(now time.Time, i membership.Instance) {
 	e.instance = i
 	switch {
 	case i.State != membership.Gone:
@@ -116,7 +116,7 @@
 		if !entry.named {
 			gone := entry.instance
 			gone.State = membership.Gone
-			l.touch(&entry, gone)
+			l.markChanged(&entry, gone)
 			entry.set(now, gone)
 			l.byName[name] = entry
 		}
@@ -125,7 +125,7 @@
 }
 
 // expire removes the instances that have been gone for longer than kept.
-func (l *memberList) forget(now time.Time, kept time.Duration) {
+func (l *memberList) expire(now time.Time, kept time.Duration) {
 	for name, entry := range l.byName {
 		if !entry.goneSince.IsZero() && now.Sub(entry.goneSince) > kept {
 			delete(l.byName, name)
--- a/control/memberlist_test.go
+++ b/control/memberlist_test.go
@@ -7,14 +7,14 @@
 	"celeryport/membership"
 )
 
-func TestMembersThatNoLeaderNamesAreGone(t *testing.T) {
+func TestMembersNotNamedByTheLeaderAreGone(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	live := func(name string, incarnation uint64) membership.Instance {
 		return membership.Instance{Name: name, Incarnation: incarnation}
 	}
 	l := newMemberList()
 	l.merge(now, []membership.Instance{live("dead", 1), live("i1", 1)})
-	l.follow()
+	l.startEpoch()
 	l.merge(now, []membership.Instance{live("i1", 1), live("i2", 1)})
 	if got := l.list(); got[0].State != membership.Live {
 		t.Fatal("gone before the new leader can know every instance")
@@ -27,9 +27,9 @@
 	if states["dead"] != membership.Gone || states["i1"] != membership.Live || states["i2"] != membership.Live {
 		t.Fatalf("states %v", states)
 	}
-	l.forget(now.Add(time.Hour+1), time.Hour)
+	l.expire(now.Add(time.Hour+1), time.Hour)
 	if len(l.list()) != 2 {
-		t.Fatalf("kept for ever: %+v", l.list())
+		t.Fatalf("kept forever: %+v", l.list())
 	}
 	l.merge(now, []membership.Instance{live("i1", 0)})
 	if l.list()[0].Incarnation != 1 {
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestDeadLeaderIsNotHandedOut(t *testing.T) {
+func TestDeadLeaderIsNotGivenToCallers(t *testing.T) {
 	// The leader and an instance in the same rack die at the same time. The new leader has
 	// never received a sync of either. If the others continued to give out their
 	// addresses, callers would connect to dead instances forever.
--- a/control/names_test.go
+++ b/control/names_test.go
@@ -11,8 +11,8 @@
 
 func (c shiftedClock) Now() time.Time { return time.Now().Add(c.by) }
 
-// twin starts another process under the name of a running instance.
-func (f *fleet) twin(of *testNode, by time.Duration) *testNode {
+// startDuplicate starts another process under the name of a running instance.
+func (f *fleet) startDuplicate(of *testNode, by time.Duration) *testNode {
 	f.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,12 +33,12 @@
 	first := f.apply(0, "a", testTree(1))
 	f.awaitInstalled(first.Revision)
 	old := f.members[3]
-	newer := f.twin(old, 0)
-	f.awaitOne(newer, first.Revision)
-	f.await("the older process admits nothing", func() bool {
+	newer := f.startDuplicate(old, 0)
+	f.awaitInstalledAt(newer, first.Revision)
+	f.await("the older process stops admitting requests", func() bool {
 		return !time.Now().Before(old.node.View().LeaseUntil)
 	})
-	f.awaitOne(newer, first.Revision)
+	f.awaitInstalledAt(newer, first.Revision)
 }
 
 func TestRestartAfterTheClockWentBack(t *testing.T) {
@@ -51,7 +51,7 @@
 	f.awaitInstalled(first.Revision)
 	old := f.members[3]
 	f.crash(old)
-	restarted := f.twin(old, -time.Hour)
+	restarted := f.startDuplicate(old, -time.Hour)
 	f.await("the restarted instance holds a lease", func() bool {
 		v := restarted.node.View()
 		return v.Tree != nil && v.LeaseUntil.After(restarted.clock.Now())
--- a/control/network_test.go
+++ b/control/network_test.go
@@ -9,41 +9,41 @@
 // network connects the nodes of a fleet and can partition one silently: sent data is lost,
 // but no connection is closed.
 type network struct {
-	mu  sync.Mutex
-	off map[string]map[string]bool // partitioned control addresses, and for each those that it can still reach
+	mu          sync.Mutex
+	partitioned map[string]map[string]bool // partitioned control addresses, and for each those that it can still reach
 }
 
-// cut partitions an address from all others except the friends.
-func (w *network) cut(address string, friends ...string) {
+// partition partitions an address from all others except the friends.
+func (w *network) partition(address string, friends ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.off == nil {
-		w.off = map[string]map[string]bool{}
+	if w.partitioned == nil {
+		w.partitioned = map[string]map[string]bool{}
 	}
-	w.off[address] = map[string]bool{address: true}
+	w.partitioned[address] = map[string]bool{address: true}
 	for _, friend := range friends {
-		w.off[address][friend] = true
+		w.partitioned[address][friend] = true
 	}
 }
 
-func (w *network) heal(address string) {
+func (w *network) reconnect(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.off, address)
+	delete(w.partitioned, address)
 }
 
-func (w *network) isCut(a, b string) bool {
+func (w *network) isPartitioned(a, b string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	fromA, cutA := w.off[a]
-	fromB, cutB := w.off[b]
+	fromA, cutA := w.partitioned[a]
+	fromB, cutB := w.partitioned[b]
 	return (cutA && !fromA[b]) || (cutB && !fromB[a])
 }
 
 // dialFrom returns the dialer of the node at an address.
 func (w *network) dialFrom(own string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		if w.isCut(own, address) {
+		if w.isPartitioned(own, address) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -51,28 +51,28 @@
 		if err != nil {
 			return nil, err
 		}
-		return &cuttableConn{Conn: conn, network: w, from: own, to: address}, nil
+		return &partitionableConn{Conn: conn, network: w, from: own, to: address}, nil
 	}
 }
 
-// cuttableConn drops data while its ends are partitioned from each other.
-type cuttableConn struct {
+// partitionableConn drops data while its ends are partitioned from each other.
+type partitionableConn struct {
 	net.Conn
 	network  *network
 	from, to string
 }
 
-func (c *cuttableConn) Write(p []byte) (int, error) {
-	if c.network.isCut(c.from, c.to) {
+func (c *partitionableConn) Write(p []byte) (int, error) {
+	if c.network.isPartitioned(c.from, c.to) {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-func (c *cuttableConn) Read(p []byte) (int, error) {
+func (c *partitionableConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
-		if err != nil || !c.network.isCut(c.from, c.to) {
+		if err != nil || !c.network.isPartitioned(c.from, c.to) {
 			return n, err
 		}
 	}
--- a/control/node.go
+++ b/control/node.go
@@ -32,11 +32,11 @@
 	claimVoter *claimVoter // nil on an instance that is not a voter
 	claimGroup atomic.Pointer[claimGroup]
 	wonClaims  wonClaims
-	kick       chan struct{}
+	urgentSync chan struct{}
 	messages   chan task // consensus messages, which take precedence over other tasks
 	tasks      chan task
 	stopped    chan struct{} // closed when the control goroutine has ended
-	parsed     parsedText
+	parsed     parseCache
 	refused    refusedAnnouncements
 	evidence   chan quarantine.Evidence // not yet gathered into a report
 	core       *core                    // owned by the control goroutine
@@ -71,15 +71,15 @@
 		return nil, errors.New("control needs process settings and a log")
 	}
 	n := &Node{
-		opts:     opts.withDefaults(),
-		log:      opts.Log,
-		handlers: map[string]Handler{},
-		messages: make(chan task, messageQueue),
-		tasks:    make(chan task, taskQueue),
-		stopped:  make(chan struct{}),
-		kick:     make(chan struct{}, 1),
-		evidence: make(chan quarantine.Evidence, mostEvidence),
-		refused:  refusedAnnouncements{logged: rate.Sometimes{Interval: refusedLogInterval}},
+		opts:       opts.withDefaults(),
+		log:        opts.Log,
+		handlers:   map[string]Handler{},
+		messages:   make(chan task, messageQueue),
+		tasks:      make(chan task, taskQueue),
+		stopped:    make(chan struct{}),
+		urgentSync: make(chan struct{}, 1),
+		evidence:   make(chan quarantine.Evidence, maxEvidence),
+		refused:    refusedAnnouncements{logged: rate.Sometimes{Interval: refusedLogInterval}},
 	}
 	n.clock = n.opts.Clock
 	n.parsed.read = n.opts.Parse
@@ -118,7 +118,7 @@
 	if err := n.do(ctx, func(now time.Time) { n.core.hear(now, a) }); err != nil {
 		return err
 	}
-	return n.passOn(ctx)
+	return n.propagate(ctx)
 }
 
 // Leave takes an incarnation of an upstream out of service at the upstream's own request,
@@ -156,7 +156,7 @@
 	if err := n.do(ctx, func(now time.Time) { n.core.drain(now) }); err != nil {
 		return err
 	}
-	return n.passOn(ctx)
+	return n.propagate(ctx)
 }
 
 // do runs a task on the control goroutine and waits until it has finished.
--- a/control/options.go
+++ b/control/options.go
@@ -43,10 +43,10 @@
 	Call       time.Duration // timeout of one call between instances; greater than Sync
 	Search     time.Duration // timeout of asking all voters at once which of them leads
 	Stagger    time.Duration // time after which an instance without settings asks an additional voter
-	Look       time.Duration // pause before an instance without settings retries a voter, and the initial timeout of a connection, doubled with each attempt
+	Probe      time.Duration // pause before an instance without settings retries a voter, and the initial timeout of a connection, doubled with each attempt
 	Fresh      time.Duration // time after the last announcement at which an upstream counts as silent, unless the settings specify it
 	Retry      time.Duration // pause after a failed sync
-	Touch      time.Duration // time after the last successful sync at which a voter counts as out of contact with the leader; greater than Sync
+	Contact    time.Duration // time after the last successful sync at which a voter counts as out of contact with the leader; greater than Sync
 	Leave      time.Duration // timeout of notifying the leader when this instance stops
 	Compact    uint64        // number of applied entries between two snapshots of the log
 }
@@ -69,10 +69,10 @@
 		Call:    2 * time.Second,
 		Search:  500 * time.Millisecond,
 		Stagger: 100 * time.Millisecond,
-		Look:    25 * time.Millisecond, // a quarter of Retry; connecting within a region takes 1 to 2 ms
+		Probe:   25 * time.Millisecond, // a quarter of Retry; connecting within a region takes 1 to 2 ms
 		Fresh:   3 * time.Second,
 		Retry:   100 * time.Millisecond,
-		Touch:   1200 * time.Millisecond,
+		Contact: 1200 * time.Millisecond,
 		Leave:   time.Second,
 		Compact: 1000,
 	}
--- a/control/parse_beside_test.go
+++ b/control/parse_concurrency_test.go
@@ -10,7 +10,7 @@
 	"celeryport/settings"
 )
 
-func TestSettingsAreParsedBesideConsensus(t *testing.T) {
+func TestSettingsAreParsedOutsideTheControlGoroutine(t *testing.T) {
 	// A voter with a small processor gets a document of a thousand routes. If the
 	// goroutine that answers heartbeats parsed it, the voter would be unresponsive for
 	// longer than an election timeout with each change of a series.
@@ -32,7 +32,7 @@
 	go func() { ended <- node.loop(ctx) }()
 	taken := make(chan error, 1)
 	answer := &searchAnswer{target: "a", request: &syncRequest{}, response: &syncResponse{Epoch: "a/1", Revision: 5, LeaseMs: 1, Text: testTree(5)}}
-	go func() { taken <- node.take(ctx, answer) }()
+	go func() { taken <- node.applyAnswer(ctx, answer) }()
 	<-entered
 	answered, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
--- a/control/parsed.go
+++ b/control/parsecache.go
@@ -11,7 +11,7 @@
 // parseCache parses settings texts, compressed or not, and caches the latest result: a
 // leader checks a text before it is accepted and installs it right afterwards, and parsing
 // a text with many routes is slow on a small share of a processor.
-type parsedText struct {
+type parseCache struct {
 	read   func(file string, text []byte) (*settings.Tree, error)
 	mu     sync.Mutex
 	digest string
@@ -20,7 +20,7 @@
 
 // parse returns the tree of a text. The returned tree is a shallow copy, in which the
 // caller may set the revision.
-func (p *parsedText) parse(file string, data []byte) (*settings.Tree, error) {
+func (p *parseCache) parse(file string, data []byte) (*settings.Tree, error) {
 	digest := state.Digest(data)
 	p.mu.Lock()
 	known := p.tree
--- a/control/proposals.go
+++ b/control/proposals.go
@@ -33,7 +33,7 @@
 	if old, found := p.waiting[index]; found {
 		// The old proposal is from an earlier term of this leader. Its entry has been
 		// overwritten in this log, but another voter may still hold it and commit it.
-		old.done <- proposalResult{err: errOvertaken}
+		old.done <- proposalResult{err: errOutcomeUnknown}
 	}
 	p.waiting[index] = proposal{term: term, done: done}
 }
@@ -55,11 +55,11 @@
 
 // completeCovered completes the proposals covered by a snapshot. Whether the snapshot
 // contains them is unknown, so their outcome is too.
-func (p *proposals) overtaken(index uint64) {
+func (p *proposals) completeCovered(index uint64) {
 	for at, waiting := range p.waiting {
 		if at <= index {
 			delete(p.waiting, at)
-			waiting.done <- proposalResult{err: errOvertaken}
+			waiting.done <- proposalResult{err: errOutcomeUnknown}
 		}
 	}
 }
@@ -73,8 +73,8 @@
 }
 
 var (
-	errReplaced  = verdict.Refuse(verdict.ReasonNotLeader, 0, "another leader took over before the change was accepted")
-	errOvertaken = verdict.New(verdict.MayHaveRun, verdict.ReasonNotLeader, "another leader took over; the outcome is unknown here")
+	errReplaced       = verdict.Refuse(verdict.ReasonNotLeader, 0, "another leader took over before the change was accepted")
+	errOutcomeUnknown = verdict.New(verdict.MayHaveRun, verdict.ReasonNotLeader, "another leader took over; the outcome is unknown here")
 )
 
 // propose appends a command to the log. The outcome is sent to done, which must have room
--- a/control/provisional.go
+++ b/control/provisional.go
@@ -27,7 +27,7 @@
 		return nil
 	}
 	p := &provisional{}
-	if fleet := c.fleetToTell(now); len(fleet.Upstreams) > r.Known {
+	if fleet := c.currentFleet(now); len(fleet.Upstreams) > r.Known {
 		p.Fleet = fleet
 	}
 	if r.Bare {
@@ -53,16 +53,16 @@
 
 // applyProvisional installs provisional settings if none are installed, and adds the
 // fleet, unless a leader has accepted this instance.
-func (c *core) takeProvisional(now time.Time, p *provisional) {
+func (c *core) applyProvisional(now time.Time, p *provisional) {
 	if p == nil || c.accepted {
 		return
 	}
 	if c.installed.tree == nil && len(p.Text) > 0 {
 		if err := c.installed.install(p.Revision, p.Text); err != nil {
-			c.noteInstallFailed(p.Revision, err)
+			c.logInstallFailed(p.Revision, err)
 			return
 		}
 		eventProvisional.Log(c.log, event.Fields{"revision": p.Revision, "upstreams": len(p.Fleet.Upstreams)})
 	}
-	c.takeRemembered(now, &p.Fleet.remembered)
+	c.addRemembered(now, &p.Fleet.remembered)
 }
--- a/control/provisional_bench_test.go
+++ b/control/provisional_bench_test.go
@@ -28,7 +28,7 @@
 			AvailabilityZone: "patan-zone", Slots: 16, Version: "v1",
 		})
 	}
-	c.takeRemembered(now, &fleet)
+	c.addRemembered(now, &fleet)
 	size := 0
 	b.ReportAllocs()
 	for b.Loop() {
--- a/control/provisional_test.go
+++ b/control/provisional_test.go
@@ -24,7 +24,7 @@
 	f.awaitInstalled(accepted.Revision)
 	back := f.members[0]
 	back.node.Announce(upstream.Announcement{Name: "engine-1", Incarnation: 1, Sequence: 1, Address: "127.0.0.1:1", Targets: []string{"sarto"}})
-	f.await("the engine on disk", func() bool {
+	f.await("the engine is stored on disk", func() bool {
 		var kept remembered
 		return readJSON(back.node.core.installed.folder, rememberedFile, &kept) == nil && len(kept.Upstreams) == 1 && len(kept.Instances) == 3
 	})
@@ -53,13 +53,13 @@
 	if err := c.installed.install(7, testTree(7)); err != nil {
 		t.Fatal(err)
 	}
-	c.takeProvisional(time.Now(), &provisional{Revision: 9, Text: testTree(9)})
+	c.applyProvisional(time.Now(), &provisional{Revision: 9, Text: testTree(9)})
 	if got := c.installed.revision(); got != 7 {
-		t.Errorf("revision %d took the place of 7", got)
+		t.Errorf("revision %d replaced 7", got)
 	}
 }
 
-func TestFleetIsTakenFromWhoeverKnowsMore(t *testing.T) {
+func TestSeekingInstanceAsksForAMoreCompleteFleet(t *testing.T) {
 	// After a power failure, an instance gets its settings from a voter that has lost its
 	// disk, has only just received them itself, and knows no engines. If the instance
 	// asked no other voter, its callers would find no engine until there is a leader.
@@ -72,8 +72,8 @@
 	if err := knows.installed.install(7, testTree(7)); err != nil {
 		t.Fatal(err)
 	}
-	knows.takeRemembered(now, &fleet)
-	asks.takeProvisional(now, &provisional{Revision: 7, Text: testTree(7)})
+	knows.addRemembered(now, &fleet)
+	asks.applyProvisional(now, &provisional{Revision: 7, Text: testTree(7)})
 	request, _ := asks.syncRequest(now, 0)
 	if request.Bare || !request.Seeking {
 		t.Fatalf("the instance asks for settings: %t, for the fleet: %t", request.Bare, request.Seeking)
@@ -82,7 +82,7 @@
 	if answer == nil || len(answer.Text) > 0 {
 		t.Fatalf("the answer is %+v, want the fleet without settings", answer)
 	}
-	asks.takeProvisional(now, answer)
+	asks.applyProvisional(now, answer)
 	if got := asks.known.Size(); got != 2 {
 		t.Errorf("%d upstreams are known, want 2", got)
 	}
@@ -90,23 +90,23 @@
 		t.Error("the fleet is sent again to an instance that knows it")
 	}
 	asks.accepted = true
-	asks.takeProvisional(now, &provisional{Fleet: fleetAnswer{remembered: remembered{Upstreams: []upstream.Announcement{{Name: "gone", Incarnation: 1}}}}})
+	asks.applyProvisional(now, &provisional{Fleet: fleetAnswer{remembered: remembered{Upstreams: []upstream.Announcement{{Name: "gone", Incarnation: 1}}}}})
 	if got := asks.known.Size(); got != 2 {
-		t.Errorf("a leader has told the fleet, and %d upstreams are known, want 2", got)
+		t.Errorf("after a leader has sent the fleet %d upstreams are known, want 2", got)
 	}
 }
 
-func TestRememberedInstancesAreDroppedWhenNobodyHearsThem(t *testing.T) {
+func TestRememberedInstancesAreDroppedIfTheyNeverSync(t *testing.T) {
 	// An instance was removed while all others were down. If their remembered entry of it
 	// were kept, callers would be sent to its address forever.
 	l := newMemberList()
 	now := time.Unix(1_700_000_000, 0)
-	l.assume(now, []membership.Instance{{Name: "removed", State: membership.Live}, {Name: "lives", State: membership.Live}})
+	l.addUnknown(now, []membership.Instance{{Name: "removed", State: membership.Live}, {Name: "lives", State: membership.Live}})
 	l.merge(now, []membership.Instance{{Name: "lives", Incarnation: 2, State: membership.Live}})
 	l.settle(now)
 	for _, i := range l.list() {
 		if i.Name == "removed" && i.State != membership.Gone {
-			t.Errorf("an instance that no leader hears of is %s", i.State)
+			t.Errorf("an instance that never syncs with a leader is %s", i.State)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 
 // Guards against voters that spend all their time sending the fleet to hundreds of
 // instances that were killed at once.
-func TestFleetIsToldInFewBytes(t *testing.T) {
+func TestFleetAnswerIsSmall(t *testing.T) {
 	const upstreams = 1000
 	// A hundred instances get it within a second over a link of 20 Mbit/s.
 	const mostBytes = 25_000
@@ -147,7 +147,7 @@
 			Name: fmt.Sprint("engine-", n), Incarnation: 1, Address: fmt.Sprintf("10.0.%d.%d:1", n/250, n%250), Targets: []string{"sarto"},
 		})
 	}
-	knows.takeRemembered(now, &fleet)
+	knows.addRemembered(now, &fleet)
 	answer := knows.provisionalFor(now, &syncRequest{Seeking: true})
 	data, err := json.Marshal(answer)
 	if err != nil {
@@ -160,7 +160,7 @@
 	if err := json.Unmarshal(data, &taken); err != nil {
 		t.Fatal(err)
 	}
-	asks.takeProvisional(now, &taken)
+	asks.applyProvisional(now, &taken)
 	if got := asks.known.Size(); got != upstreams {
 		t.Errorf("%d upstreams are known, want %d", got, upstreams)
 	}
--- a/control/publish.go
+++ b/control/publish.go
@@ -8,24 +8,24 @@
 
 // viewState records whether a new view is due.
 type viewState struct {
-	urgent bool
-	late   bool
-	at     time.Time // time of the last view
+	urgent  bool
+	pending bool
+	at      time.Time // time of the last view
 }
 
 // dirty requests a new view at once.
 func (v *viewState) dirty() { v.urgent = true }
 
 // stale requests a new view within viewInterval.
-func (v *viewState) stale() { v.late = true }
+func (v *viewState) stale() { v.pending = true }
 
 // publishIfDue publishes a new view if one is due and returns when to check again.
 func (c *core) publishIfDue(now time.Time) time.Time {
 	due := c.views.at.Add(viewInterval)
 	switch {
-	case c.views.urgent, c.views.late && !now.Before(due):
+	case c.views.urgent, c.views.pending && !now.Before(due):
 		c.publish(now)
-	case c.views.late:
+	case c.views.pending:
 		return due
 	}
 	return now.Add(maxWait)
@@ -35,7 +35,7 @@
 func (c *core) publish(now time.Time) {
 	c.views = viewState{at: now}
 	c.known.Expire(now)
-	c.members.forget(now, c.timing.Membership.Kept)
+	c.members.expire(now, c.timing.Membership.Kept)
 	view := &View{
 		Incarnation: c.self.Incarnation,
 		Tree:        c.installed.tree,
--- a/control/race_test.go
+++ b/control/race_test.go
@@ -14,9 +14,9 @@
 	"celeryport/verdict"
 )
 
-// operatorAt sends an order through one node and repeats it until the outcome is known, as
+// applyAt sends an order through one node and repeats it until the outcome is known, as
 // the command line does.
-func (f *fleet) operatorAt(ctx context.Context, at int, request ApplyRequest) (state.Outcome, error) {
+func (f *fleet) applyAt(ctx context.Context, at int, request ApplyRequest) (state.Outcome, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return state.Outcome{}, err
@@ -56,7 +56,7 @@
 		for operator := range operators {
 			group.Go(func() error {
 				id := fmt.Sprintf("%d-%d", round, operator)
-				outcome, err := f.operatorAt(ctx, operator, ApplyRequest{Base: base, OrderID: id, Text: testTree(10*round + operator)})
+				outcome, err := f.applyAt(ctx, operator, ApplyRequest{Base: base, OrderID: id, Text: testTree(10*round + operator)})
 				if err != nil {
 					return err
 				}
@@ -72,21 +72,21 @@
 		}
 		if round%2 == 1 {
 			leader := f.leader()
-			f.network.cut(leader.process.ControlListen)
-			defer f.network.heal(leader.process.ControlListen)
+			f.network.partition(leader.process.ControlListen)
+			defer f.network.reconnect(leader.process.ControlListen)
 		}
 		if err := group.Wait(); err != nil {
 			t.Fatal(err)
 		}
 		for _, m := range f.members {
-			f.network.heal(m.process.ControlListen)
+			f.network.reconnect(m.process.ControlListen)
 		}
 		if len(won) != 1 || len(winners) != 1 {
-			t.Fatalf("round %d: won %v, shown as winners %v", round, won, winners)
+			t.Fatalf("round %d: won %v, reported as winners %v", round, won, winners)
 		}
 		for id, revision := range won {
 			if !winners[id] {
-				t.Fatalf("round %d: %s won, the losers saw %v", round, id, winners)
+				t.Fatalf("round %d: %s won, but the losers were given %v", round, id, winners)
 			}
 			base = revision
 		}
--- a/control/reads.go
+++ b/control/reads.go
@@ -46,7 +46,7 @@
 }
 
 // cancel removes a read whose caller has stopped waiting.
-func (r *reads) forget(confirmed chan<- struct{}) {
+func (r *reads) cancel(confirmed chan<- struct{}) {
 	for context, waiting := range r.waiting {
 		if waiting == confirmed {
 			delete(r.waiting, context)
@@ -74,7 +74,7 @@
 	case <-n.stopped:
 		return nil, errStopped
 	case <-ctx.Done():
-		_ = n.do(context.WithoutCancel(ctx), func(time.Time) { n.core.group.reads.forget(confirmed) }) // fails only if the node has stopped
+		_ = n.do(context.WithoutCancel(ctx), func(time.Time) { n.core.group.reads.cancel(confirmed) }) // fails only if the node has stopped
 		return nil, errUnconfirmed
 	}
 	var found Accepted
--- a/control/relaying.go
+++ b/control/relaying.go
@@ -44,7 +44,7 @@
 // receiveInbox applies the announcements sent by an instance and returns the position up
 // to which they are known here. After a gap, for instance because a message was lost, the
 // position is 0, upon which the instance sends everything again.
-func takeInbox(inboxes map[string]inbox, now time.Time, p *poll) (relayed []upstream.Relayed, position uint64) {
+func receiveInbox(inboxes map[string]inbox, now time.Time, p *poll) (relayed []upstream.Relayed, position uint64) {
 	i := &p.request.Instance
 	box := inboxes[i.Name]
 	if box.receiver == nil || box.incarnation != i.Incarnation {
@@ -60,12 +60,12 @@
 
 // receiveHeard applies the announcements sent by an instance and returns the position up
 // to which the leader has them.
-func (l *leader) takeHeard(now time.Time, p *poll) uint64 {
-	relayed, position := takeInbox(l.inboxes, now, p)
+func (l *leader) receiveHeard(now time.Time, p *poll) uint64 {
+	relayed, position := receiveInbox(l.inboxes, now, p)
 	for _, r := range relayed {
 		l.core.logUpstream(r.Announcement)
 		if l.core.known.HearRelayed(now, r) {
-			l.core.noteUpstream(r.Announcement)
+			l.core.markUpstreamChanged(r.Announcement)
 		}
 	}
 	return position
@@ -73,7 +73,7 @@
 
 // applyUpstreams applies the announcements sent by the leader. The delta was in transit
 // for at most the duration of the call minus the time for which the leader held it.
-func (c *core) takeUpstreams(now, sentAt time.Time, r *syncResponse) {
+func (c *core) applyUpstreams(now, sentAt time.Time, r *syncResponse) {
 	way := max(0, now.Sub(sentAt)-time.Duration(r.HeldMs)*time.Millisecond)
 	relayed, err := c.received.Take(r.upstreams, way)
 	if err != nil {
@@ -83,7 +83,7 @@
 	for _, one := range relayed {
 		c.logUpstream(one.Announcement)
 		if c.known.HearRelayed(now, one) {
-			c.noteUpstream(one.Announcement)
+			c.markUpstreamChanged(one.Announcement)
 		}
 	}
 }
--- a/control/remembered.go
+++ b/control/remembered.go
@@ -42,14 +42,14 @@
 	for clock.Pause(ctx, rememberInterval) {
 		data, err := json.Marshal(rememberedOf(n.View()))
 		if err != nil {
-			return errors.Wrap(err, "encode what is remembered")
+			return errors.Wrap(err, "encode the remembered fleet")
 		}
 		if slices.Equal(data, written) {
 			continue
 		}
 		if err := folder.write(rememberedFile, data); err != nil {
 			if !failed {
-				eventRememberFailed.Log(n.log, event.Fields{"error": err})
+				eventFleetStoreFailed.Log(n.log, event.Fields{"error": err})
 			}
 			failed = true
 			continue
@@ -80,7 +80,7 @@
 
 // loadRemembered loads the fleet from before a restart. Upstreams count as silent until
 // they announce themselves; a leader drops instances that do not sync with it.
-func (c *core) recall(now time.Time) error {
+func (c *core) loadRemembered(now time.Time) error {
 	folder := c.installed.folder
 	if folder.path == "" {
 		return nil
@@ -94,17 +94,17 @@
 		err = json.Unmarshal(data, &r)
 	}
 	if err != nil {
-		eventRememberFailed.Log(c.log, event.Fields{"error": err})
+		eventFleetStoreFailed.Log(c.log, event.Fields{"error": err})
 		return nil //nolint:nilerr // it only helps for the first seconds; everything is heard again
 	}
-	c.takeRemembered(now, &r)
+	c.addRemembered(now, &r)
 	return nil
 }
 
-func (c *core) takeRemembered(now time.Time, r *remembered) {
+func (c *core) addRemembered(now time.Time, r *remembered) {
 	for _, a := range r.Upstreams {
 		c.known.HearRelayed(now, upstream.Relayed{Announcement: a, Age: c.freshFor() + time.Second})
 	}
-	c.members.assume(now, r.Instances)
+	c.members.addUnknown(now, r.Instances)
 	c.views.dirty()
 }
--- a/control/reopen.go
+++ b/control/reopen.go
@@ -18,7 +18,7 @@
 // reopenIfDue reopens a failed data folder when the pause is over.
 func (g *group) reopenIfDue(now time.Time) (time.Time, error) {
 	if g.failed == nil {
-		return now.Add(farAway), nil
+		return now.Add(idleWait), nil
 	}
 	if now.Before(g.retryAt) {
 		return g.retryAt, nil
@@ -27,7 +27,7 @@
 	if err := g.reopen(); err != nil {
 		return g.retryAt, nil //nolint:nilerr // logged as failed already, and tried again
 	}
-	eventStorageBack.Log(g.core.log, event.Fields{"folder": g.core.installed.folder.path})
+	eventStorageRecovered.Log(g.core.log, event.Fields{"folder": g.core.installed.folder.path})
 	return now, nil
 }
 
--- a/control/repair.go
+++ b/control/repair.go
@@ -45,17 +45,17 @@
 		Learners: append([]consensus.Member(nil), c.Learners...),
 	}
 	if gone, found := firstDead(c.Learners, &known); found {
-		next.Learners = without(next.Learners, gone)
+		next.Learners = withoutMember(next.Learners, gone)
 		return next, "remove a dead learner"
 	}
 	if gone, found := firstDead(c.Voters, &known); found && len(c.Voters) > wanted {
-		next.Voters = without(next.Voters, gone)
+		next.Voters = withoutMember(next.Voters, gone)
 		return next, "remove a dead voter"
 	}
 	live := countLive(c.Voters, &known)
 	if len(c.Learners) > 0 && live < wanted {
 		promoted := c.Learners[0]
-		next.Learners = without(next.Learners, promoted.ID)
+		next.Learners = withoutMember(next.Learners, promoted.ID)
 		next.Voters = append(next.Voters, promoted)
 		return next, "promote a learner"
 	}
--- a/control/repair_test.go
+++ b/control/repair_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestLostDiskHealsByItself(t *testing.T) {
+func TestLostDiskIsRepairedAutomatically(t *testing.T) {
 	// A voter restarts with an empty disk and is not replaced by hand. Before the next
 	// machine is lost it must be a voter again, under a new ID and with everything that
 	// was accepted.
@@ -75,11 +75,11 @@
 	lost.process.Found = false
 	f.start(lost, nil)
 	for _, m := range f.members {
-		f.await("the healed group known at "+m.process.Name, func() bool { return votersApplied(t, m, before) })
+		f.await("the repaired group is known at "+m.process.Name, func() bool { return votersApplied(t, m, before) })
 	}
 	f.crash(f.leader())
 	if found := f.readAccepted(lost); found.Revision.Version != 2 {
-		t.Errorf("version %d is left after the second loss, 2 was accepted", found.Revision.Version)
+		t.Errorf("version %d after the second loss, but 2 was accepted", found.Revision.Version)
 	}
 }
 
--- a/control/replace_test.go
+++ b/control/replace_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestLostDiskDoesNotVoteAsBefore(t *testing.T) {
+func TestVoterWithALostDiskDoesNotVoteUnderItsOldID(t *testing.T) {
 	// A voter loses its disk and restarts with its original settings. If it took part
 	// under its old identity, its lost votes and entries could help to elect a leader
 	// without an accepted change.
@@ -83,12 +83,12 @@
 	f.crash(lost)
 	lost.process.DataFolder = t.TempDir()
 	f.start(lost, nil)
-	f.awaitOne(lost, first.Revision)
+	f.awaitInstalledAt(lost, first.Revision)
 	var status VotersStatus
 	f.ask(CommandVoterList, nil, &status)
 	for _, v := range status.Voters {
 		if v.ID == old && v.Match >= first.Revision && v.Instance == lost.process.Name {
-			t.Fatalf("the lost disk votes again: %+v", status.Voters)
+			t.Fatalf("the voter with the lost disk votes again: %+v", status.Voters)
 		}
 	}
 	f.awaitReplaced(old, lost)
--- a/control/restart_test.go
+++ b/control/restart_test.go
@@ -20,7 +20,7 @@
 
 func (f *fleet) awaitKnown(name string, incarnation uint64, state upstream.State) {
 	f.t.Helper()
-	f.await("every instance knows the start of the upstream", func() bool {
+	f.await("every instance knows the restarted upstream", func() bool {
 		for _, m := range f.members {
 			if m.stop != nil && !m.knows(name, incarnation, state) {
 				return false
@@ -64,7 +64,7 @@
 	f.awaitKnown("e1", 200, upstream.Leaving)
 }
 
-func TestStrangeAnnouncementsAreCounted(t *testing.T) {
+func TestInvalidAnnouncementsAreCounted(t *testing.T) {
 	// Another program sends announcements that are no valid engines, many times a second.
 	// Operators must see that, and the log must not fill up with it.
 	t.Parallel()
@@ -73,6 +73,6 @@
 		f.members[0].node.RefuseAnnouncement("e1", errStopped)
 	}
 	if got := f.members[0].node.RefusedAnnouncements(); got != 50 {
-		t.Errorf("%d are counted, want 50", got)
+		t.Errorf("%d invalid announcements counted, want 50", got)
 	}
 }
--- a/control/run.go
+++ b/control/run.go
@@ -124,7 +124,7 @@
 func (n *Node) leave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, n.opts.Timing.Leave)
 	defer cancel()
-	if n.do(ctx, func(time.Time) { n.core.goodbye() }) != nil {
+	if n.do(ctx, func(time.Time) { n.core.markGone() }) != nil {
 		return
 	}
 	for range leaveAttempts {
@@ -165,11 +165,11 @@
 // covers everything they propose. A heartbeat waits for at most this many tasks: queued
 // behind all messages that a fleet sends when it starts, it would be delayed by more than
 // an election timeout, and the group would change its leader needlessly.
-const tasksAtOnce = 16
+const tasksPerStep = 16
 
 // drainTasks runs further queued tasks.
 func (n *Node) drainTasks() {
-	for range min(tasksAtOnce, len(n.tasks)) {
+	for range min(tasksPerStep, len(n.tasks)) {
 		if len(n.messages) > 0 {
 			return
 		}
--- a/control/run_test.go
+++ b/control/run_test.go
@@ -10,7 +10,7 @@
 	"celeryport/settings"
 )
 
-func TestConsensusGoesBeforeWhatAFleetSends(t *testing.T) {
+func TestConsensusMessagesPrecedeSyncs(t *testing.T) {
 	// A fleet starts and hundreds of syncs are queued at a voter with a small processor,
 	// with a heartbeat of the leader behind them. If the heartbeat waited for all of them,
 	// the voter would consider the leader dead and start an election, repeatedly.
@@ -37,7 +37,7 @@
 		}
 	}
 	_ = node.loop(ctx)
-	if heartbeatAfter == 0 || heartbeatAfter > 10+tasksAtOnce {
-		t.Errorf("the heartbeat came in after %d of %d syncs", heartbeatAfter, syncs)
+	if heartbeatAfter == 0 || heartbeatAfter > 10+tasksPerStep {
+		t.Errorf("the heartbeat was processed after %d of %d syncs", heartbeatAfter, syncs)
 	}
 }
--- a/control/search.go
+++ b/control/search.go
@@ -23,7 +23,7 @@
 
 // isEmpty reports whether the answer is an error, or names no leader and provides no
 // settings.
-func (a *searchAnswer) fruitless(bare bool) bool {
+func (a *searchAnswer) isEmpty(bare bool) bool {
 	switch {
 	case a.err != nil:
 		return true
@@ -35,7 +35,7 @@
 }
 
 // initialTargets divides the voters into those to ask at once and those to ask later.
-func (n *Node) askFirst(voters []string, request *syncRequest) (first, rest []string) {
+func (n *Node) initialTargets(voters []string, request *syncRequest) (first, rest []string) {
 	switch {
 	case request.Attach:
 		return voters[:1], voters[1:]
@@ -78,24 +78,24 @@
 	}
 	bound, stagger := n.opts.Timing.Search, n.opts.Timing.Stagger
 	if request.Attach {
-		bound *= attachPatience
+		bound *= attachTimeoutFactor
 	}
 	asking, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
 	answers := make(chan searchAnswer, 2*len(addresses)) // includes one redirect for each
 	asked := map[string]bool{}
-	var heard atomic.Bool
+	var answered atomic.Bool
 	ask := func(target string) {
 		asked[target] = true
-		go n.searchOne(asking, target, *request, &heard, answers)
+		go n.searchOne(asking, target, *request, &answered, answers)
 	}
-	first, rest := n.askFirst(addresses, request)
+	first, rest := n.initialTargets(addresses, request)
 	for _, address := range first {
 		ask(address)
 	}
 	next := time.NewTimer(stagger)
 	defer next.Stop()
-	var unhelpful *searchAnswer // of the first voter that answered but had nothing to provide
+	var emptyAnswer *searchAnswer // of the first voter that answered but had nothing to provide
 	for waiting := len(asked); waiting+len(rest) > 0; {
 		var answer searchAnswer
 		select {
@@ -107,9 +107,9 @@
 			}
 			next.Reset(stagger)
 		}
-		if late := answer.target == ""; late || answer.fruitless(request.Bare) {
-			if unhelpful == nil && !late && answer.err == nil && !answer.response.Redirect {
-				unhelpful = &answer
+		if late := answer.target == ""; late || answer.isEmpty(request.Bare) {
+			if emptyAnswer == nil && !late && answer.err == nil && !answer.response.Redirect {
+				emptyAnswer = &answer
 			}
 			if len(rest) > 0 {
 				ask(rest[0])
@@ -119,7 +119,7 @@
 		}
 		if answer.response.Redirect {
 			given := answer.response.Provisional
-			if err := n.do(ctx, func(now time.Time) { n.core.takeProvisional(now, given) }); err != nil {
+			if err := n.do(ctx, func(now time.Time) { n.core.applyProvisional(now, given) }); err != nil {
 				return err
 			}
 			rest = nil // settings have been received, or there is a leader to ask for them
@@ -129,13 +129,13 @@
 			}
 			continue
 		}
-		return n.take(ctx, &answer)
+		return n.applyAnswer(ctx, &answer)
 	}
-	if unhelpful != nil {
+	if emptyAnswer != nil {
 		// No voter has settings yet. The chosen voter holds the next sync until it has;
 		// repeated searches by a whole starting fleet would leave the voters no time to
 		// elect a leader.
-		return n.take(ctx, unhelpful)
+		return n.applyAnswer(ctx, emptyAnswer)
 	}
 	return errNoVoter
 }
@@ -145,15 +145,15 @@
 // fleet, so it asks further voters after pauses that double: when a large fleet starts,
 // voters are slow because all instances ask them, and asking more of them increases the
 // load.
-const attachPatience = 2
+const attachTimeoutFactor = 2
 
 // searchOne asks one voter. An instance without settings, which cannot serve requests,
 // retries until any voter has answered: after a power failure it may be up before the
 // voters, and everything it sent until then is lost or rejected.
-func (n *Node) searchOne(ctx context.Context, target string, request syncRequest, heard *atomic.Bool, answers chan<- searchAnswer) {
+func (n *Node) searchOne(ctx context.Context, target string, request syncRequest, answered *atomic.Bool, answers chan<- searchAnswer) {
 	answer := searchAnswer{target: target, request: &request}
 	request.WaitMs = 0
-	for bound := n.opts.Timing.Look; ; bound *= 2 {
+	for bound := n.opts.Timing.Probe; ; bound *= 2 {
 		answer.sentAt = n.clock.Now()
 		asking := ctx
 		if request.Bare {
@@ -161,9 +161,9 @@
 		}
 		answer.response, answer.err = n.callSync(asking, target, &request)
 		if answer.err == nil {
-			heard.Store(true)
+			answered.Store(true)
 		}
-		if answer.err == nil || !request.Bare || heard.Load() || !clock.Pause(ctx, n.opts.Timing.Look) {
+		if answer.err == nil || !request.Bare || answered.Load() || !clock.Pause(ctx, n.opts.Timing.Probe) {
 			break
 		}
 	}
@@ -174,12 +174,12 @@
 // first, and the parse result is cached for the installation: parsing a document of a
 // thousand routes on a small processor takes longer than an election timeout, and would
 // delay consensus on the control goroutine.
-func (n *Node) take(ctx context.Context, a *searchAnswer) error {
+func (n *Node) applyAnswer(ctx context.Context, a *searchAnswer) error {
 	if len(a.response.Text) > 0 {
 		_, _ = n.parsed.parse("accepted settings", a.response.Text) // the installation meets the same error, and logs it
 	}
 	var taken error
-	err := n.do(ctx, func(now time.Time) { taken = n.core.takeSync(now, a) })
+	err := n.do(ctx, func(now time.Time) { taken = n.core.applySync(now, a) })
 	if err != nil {
 		return err
 	}
--- a/control/service.go
+++ b/control/service.go
@@ -29,8 +29,8 @@
 	}
 	request.heard = in.Heard
 	response, err := s.node.handleSync(ctx, &request)
-	if err == nil && response.leaves {
-		err = s.node.passOn(ctx)
+	if err == nil && response.mayAnnounceLeaving {
+		err = s.node.propagate(ctx)
 	}
 	if err != nil {
 		return nil, rpc.ToTwirp(err)
--- a/control/showsettings.go
+++ b/control/showsettings.go
@@ -26,7 +26,7 @@
 	var status SettingsStatus
 	err := n.asLeader(ctx, func(now time.Time, l *leader) {
 		machine := l.core.group.machine
-		l.noteInForce(now)
+		l.logInForce(now)
 		status = SettingsStatus{
 			Accepted:    machine.Current(),
 			InForce:     l.inForce,
--- a/control/synctake.go
+++ b/control/syncapply.go
@@ -10,22 +10,22 @@
 	"celeryport/quarantine"
 )
 
-// syncFailed handles a sync that target did not answer; a leader at that address is no
-// longer assumed.
+// syncFailed records that target did not answer a sync and no longer considers it the
+// leader.
 func (c *core) syncFailed(target string, err error) {
 	if c.position.leader == target {
 		c.position.leader = ""
 	}
 	c.choice.Failed(target)
-	if c.inTouch {
+	if c.connected {
 		eventSyncFailed.Log(c.log, event.Fields{"target": target, "error": err})
 	}
-	c.inTouch = false
+	c.connected = false
 }
 
 // applySync applies the response to a sync. The lease is renewed last: it covers the
 // revision in this response, so it is valid only after that revision has been installed.
-func (c *core) takeSync(now time.Time, a *searchAnswer) error {
+func (c *core) applySync(now time.Time, a *searchAnswer) error {
 	sentAt, target, r := a.sentAt, a.target, a.response
 	if r.Redirect {
 		c.position.leader = r.Leader
@@ -33,7 +33,7 @@
 			c.position.leader = ""
 			return errNoVoter
 		}
-		return errAgain
+		return errResend
 	}
 	if r.Superseded > 0 {
 		c.position.stated = false
@@ -41,22 +41,22 @@
 	}
 	if r.Restate {
 		c.position.stated = false
-		return errAgain
+		return errResend
 	}
-	c.accepted = c.accepted || !c.attaches() || r.Taken
-	c.noteTouch(now, target, r)
-	c.takeEpoch(now, r.Epoch, target)
+	c.accepted = c.accepted || !c.attaches() || r.Accepted
+	c.recordContact(now, target, r)
+	c.adoptEpoch(now, r.Epoch, target)
 	c.position.stated = true
-	c.takeDeltas(now, sentAt, r)
-	if err := c.takeRevision(r); err != nil {
+	c.applyDeltas(now, sentAt, r)
+	if err := c.applyRevision(r); err != nil {
 		return err
 	}
 	if r.LeaseMs > 0 && c.installed.revision() >= r.Revision && c.self.State != membership.Gone {
 		c.lease.renew(sentAt, time.Duration(r.LeaseMs)*time.Millisecond)
 	}
 	if c.fanout != nil {
-		c.fanout.takeAttached(a.request.Attached, r)
-		c.noteDelivered(a)
+		c.fanout.applyAttachedResult(a.request.Attached, r)
+		c.acknowledgeDelivery(a)
 	}
 	if r.LeaseMs == 0 && len(r.Text) == 0 && !c.attaches() {
 		// The sender believes that it leads but cannot reach a majority: another voter may
@@ -70,27 +70,27 @@
 // acknowledgeDelivery notifies the callers that wait for a leader to have the sent
 // updates. A new leader lacks the earlier batches and acknowledges nothing until it has
 // been sent all of them.
-func (c *core) noteDelivered(a *searchAnswer) {
-	if a.response.HeardUpTo >= a.request.upTo {
-		c.fanout.delivery.takenUpTo(a.request.mark)
+func (c *core) acknowledgeDelivery(a *searchAnswer) {
+	if a.response.HeardUpTo >= a.request.batchPosition {
+		c.fanout.delivery.acknowledge(a.request.deliveryMark)
 		return
 	}
 	if len(c.fanout.delivery.waiting) > 0 {
-		c.node.kickSync()
+		c.node.requestSync()
 	}
 }
 
 // recordContact records a successful sync, and logs when this instance regains contact
 // with the control group or its voter loses contact with the leader.
-func (c *core) noteTouch(now time.Time, target string, r *syncResponse) {
+func (c *core) recordContact(now time.Time, target string, r *syncResponse) {
 	switch {
 	case r.Detached && !c.choice.Detached():
 		eventVoterDetached.Log(c.log, event.Fields{"voter": target, "revision": r.Revision})
-	case !r.Detached && (!c.inTouch || c.choice.Detached()):
-		eventSyncBack.Log(c.log, event.Fields{"leader": target, "revision": r.Revision})
+	case !r.Detached && (!c.connected || c.choice.Detached()):
+		eventSyncRestored.Log(c.log, event.Fields{"leader": target, "revision": r.Revision})
 	}
 	c.choice.SetDetached(r.Detached)
-	c.inTouch, c.syncedAt = true, now
+	c.connected, c.syncedAt = true, now
 }
 
 // superseded handles the response that a higher incarnation of this name is known. A
@@ -112,35 +112,35 @@
 
 // adoptEpoch discards all positions if the epoch has changed, because positions are
 // meaningful only to the leader that issued them.
-func (c *core) takeEpoch(now time.Time, epoch, target string) {
+func (c *core) adoptEpoch(now time.Time, epoch, target string) {
 	if c.position.epoch != epoch {
 		c.position = syncPosition{epoch: epoch}
 		c.received = relay.NewReceiver()
-		c.members.follow()
+		c.members.startEpoch()
 		c.choice.Attached(now, c.self.Name, target)
 	}
 	c.position.leader = target
 }
 
-func (c *core) takeDeltas(now, sentAt time.Time, r *syncResponse) {
+func (c *core) applyDeltas(now, sentAt time.Time, r *syncResponse) {
 	c.position.members = max(c.position.members, r.MembersAt)
 	c.position.heardUpTo = r.HeardUpTo
 	c.members.merge(now, r.Members.list)
 	if r.Settled {
 		c.members.settle(now)
 	}
-	c.takeUpstreams(now, sentAt, r)
+	c.applyUpstreams(now, sentAt, r)
 	if len(r.Voters) > 0 {
 		c.voters = r.Voters
-		c.takeClaims(r)
+		c.applyClaimEpoch(r)
 	}
-	c.takeGrants(r)
-	c.takeQuarantine(r.Quarantine)
+	c.applyGrants(r)
+	c.applyQuarantine(r.Quarantine)
 }
 
 // applyQuarantine replaces the quarantined requests, unless a delayed response brings an
 // older version.
-func (c *core) takeQuarantine(list *quarantine.List) {
+func (c *core) applyQuarantine(list *quarantine.List) {
 	if list.Version() <= c.quarantined.Version() {
 		return
 	}
@@ -151,7 +151,7 @@
 
 // logInstallFailed logs a revision that could not be installed; repeated attempts are not
 // logged.
-func (c *core) noteInstallFailed(revision uint64, err error) {
+func (c *core) logInstallFailed(revision uint64, err error) {
 	if c.failedRevision != revision {
 		eventInstallFailed.Log(c.log, event.Fields{"revision": revision, "error": err})
 	}
@@ -160,7 +160,7 @@
 
 // applyGrants replaces the grants, unless a delayed response brings older ones. A new
 // leader issues none at first; those of its predecessor expire by themselves.
-func (c *core) takeGrants(r *syncResponse) {
+func (c *core) applyGrants(r *syncResponse) {
 	if r.GrantsAt == 0 || r.GrantsAt < c.position.grants {
 		return
 	}
@@ -169,7 +169,7 @@
 }
 
 // applyClaimEpoch publishes the voters on claims.
-func (c *core) takeClaims(r *syncResponse) {
+func (c *core) applyClaimEpoch(r *syncResponse) {
 	known := c.node.claimGroup.Load()
 	if known != nil && known.epoch.Number >= r.Claims.Number {
 		return
@@ -181,25 +181,25 @@
 	c.node.claimGroup.Store(&claimGroup{epoch: r.Claims, addresses: addresses})
 }
 
-func (c *core) takeRevision(r *syncResponse) error {
+func (c *core) applyRevision(r *syncResponse) error {
 	if len(r.Text) == 0 || r.Revision <= c.installed.revision() {
 		return nil
 	}
 	if err := c.installed.install(r.Revision, r.Text); err != nil {
-		c.noteInstallFailed(r.Revision, err)
+		c.logInstallFailed(r.Revision, err)
 		return err
 	}
 	eventInstalled.Log(c.log, event.Fields{"revision": r.Revision})
 	c.heard.SetFreshFor(c.freshFor())
 	c.known.SetFreshFor(c.freshFor())
 	if !c.attaches() {
-		c.node.kickSync() // confirm at once; an attached instance's next sync follows this response anyway
+		c.node.requestSync() // confirm at once; an attached instance's next sync follows this response anyway
 	}
 	return nil
 }
 
 // markGone marks this instance as gone and ends its lease.
-func (c *core) goodbye() {
+func (c *core) markGone() {
 	c.self.State = membership.Gone
 	c.lease.drop()
 	c.views.dirty()
--- a/control/syncclient.go
+++ b/control/syncclient.go
@@ -19,7 +19,7 @@
 	go n.runUrgentSync(ctx)
 	for {
 		err := n.syncOnce(ctx, n.opts.Timing.Sync)
-		if err != nil && !errors.Is(err, errAgain) {
+		if err != nil && !errors.Is(err, errResend) {
 			if !clock.Pause(ctx, n.opts.Timing.Retry) {
 				return ctx.Err()
 			}
@@ -40,7 +40,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.kick:
+		case <-n.urgentSync:
 			if n.syncOnce(ctx, 0) != nil { // a failed one is made up for by the next regular sync
 				clock.Pause(ctx, n.opts.Timing.Retry)
 			}
@@ -48,17 +48,17 @@
 	}
 }
 
-// kickSync requests a sync in addition to the one that is held.
-func (n *Node) kickSync() {
+// requestSync requests a sync in addition to the one that is held.
+func (n *Node) requestSync() {
 	select {
-	case n.kick <- struct{}{}:
+	case n.urgentSync <- struct{}{}:
 	default:
 	}
 }
 
 // errResend is returned by a sync that was not accepted, but whose response states how to
 // send the next one.
-var errAgain = errors.New("the sync must be sent again")
+var errResend = errors.New("the sync must be sent again")
 
 // errNoVoter is returned by a sync that found no voter to ask.
 var errNoVoter = errors.New("no voter answered")
@@ -79,7 +79,7 @@
 	if err != nil {
 		return errors.CombineErrors(err, n.do(ctx, func(time.Time) { n.core.syncFailed(target, err) }))
 	}
-	return n.take(ctx, &searchAnswer{target: target, sentAt: sentAt, response: response, request: &request})
+	return n.applyAnswer(ctx, &searchAnswer{target: target, sentAt: sentAt, response: response, request: &request})
 }
 
 // callSync sends a sync to target, which may be this instance itself.
--- a/control/synctarget.go
+++ b/control/synctarget.go
@@ -16,25 +16,25 @@
 	heard := c.heardDelta(now)
 	quarantined := c.quarantined.Version()
 	request := syncRequest{
-		Epoch:     c.position.epoch,
-		Members:   c.position.members,
-		Upstreams: c.received.Position(),
-		heard:     heard,
-		upTo:      c.out.sender.Position(),
-		Claims:    c.claimsEpoch(),
-		Demand:    c.demand,
-		Grants:    c.position.grants,
-		Bare:      c.installed.tree == nil,
-		Seeking:   !c.accepted,
-		Known:     c.known.Size(),
-		WaitMs:    wait.Milliseconds(),
-		Attach:    c.attaches(),
+		Epoch:         c.position.epoch,
+		Members:       c.position.members,
+		Upstreams:     c.received.Position(),
+		heard:         heard,
+		batchPosition: c.out.sender.Position(),
+		Claims:        c.claimsEpoch(),
+		Demand:        c.demand,
+		Grants:        c.position.grants,
+		Bare:          c.installed.tree == nil,
+		Seeking:       !c.accepted,
+		Known:         c.known.Size(),
+		WaitMs:        wait.Milliseconds(),
+		Attach:        c.attaches(),
 
 		Quarantine: &quarantined,
 	}
 	if c.fanout != nil {
 		request.Attached = attachedWire(c.fanout.roster.Statements(now))
-		request.mark = c.fanout.delivery.noted
+		request.deliveryMark = c.fanout.delivery.lastMark
 	}
 	if c.position.stated {
 		request.Brief = briefOf(&c.self)
--- a/control/syncwire.go
+++ b/control/syncwire.go
@@ -32,9 +32,9 @@
 
 	Quarantine *uint64 `json:"quarantine,omitempty"` // known version of the quarantined requests; nil if the sender does not use them
 
-	heard []byte // announcements received directly that the leader has not acknowledged; sent beside the JSON
-	mark  uint64 // of a voter: delivery mark that this sync covers; not sent
-	upTo  uint64 // position of the receiver after it has applied heard, if it has all earlier batches; not sent
+	heard         []byte // announcements received directly that the leader has not acknowledged; sent beside the JSON
+	deliveryMark  uint64 // of a voter: delivery mark that this sync covers; not sent
+	batchPosition uint64 // position of the receiver after it has applied heard, if it has all earlier batches; not sent
 }
 
 // check rejects a sync that no correct instance of this version sends.
@@ -90,13 +90,13 @@
 	Provisional *provisional       `json:"provisional,omitempty"` // from a voter that does not lead, to an instance that has no settings or no leader
 	Claims      claim.Epoch        `json:"claims,omitzero"`       // voters on claims, if changed
 	Detached    bool               `json:"detached,omitempty"`    // the voter that answers an attached instance has no contact with a leader
-	Taken       bool               `json:"taken,omitempty"`       // a leader has accepted the attached instance
+	Accepted    bool               `json:"taken,omitempty"`       // a leader has accepted the attached instance
 	Unknown     []string           `json:"unknown,omitempty"`     // attached instances that must be stated in full
 
 	Quarantine *quarantine.List `json:"quarantine,omitempty"` // set if changed
 
 	SupersededAttached map[string]uint64 `json:"superseded_attached,omitempty"` // attached instances of which a higher incarnation is known, with that incarnation
 
-	upstreams []byte // announcements that the instance has not acknowledged; sent beside the JSON
-	leaves    bool   // the sync may announce a leaving upstream; the response is sent only after the leader has it
+	upstreams          []byte // announcements that the instance has not acknowledged; sent beside the JSON
+	mayAnnounceLeaving bool   // the sync may announce a leaving upstream; the response is sent only after the leader has it
 }
--- a/control/voter_bench_test.go
+++ b/control/voter_bench_test.go
@@ -15,12 +15,12 @@
 // attachedCaller is an instance that receives announcements of some upstreams and syncs
 // with a voter.
 type attachedCaller struct {
-	name      string
-	heard     *upstream.Registry
-	out       outbox
-	taken     uint64 // batches of the instance that the voter has applied
-	upstreams uint64 // last batch of the voter that the instance has applied
-	stated    bool
+	name         string
+	heard        *upstream.Registry
+	out          outbox
+	acknowledged uint64 // batches of the instance that the voter has applied
+	upstreams    uint64 // last batch of the voter that the instance has applied
+	stated       bool
 }
 
 func (a *attachedCaller) sync(b *testing.B, f *fanout, now time.Time) int {
@@ -28,7 +28,7 @@
 	if err := a.out.gather(now); err != nil {
 		b.Fatal(err)
 	}
-	heard, err := a.out.sender.Since(now, a.taken)
+	heard, err := a.out.sender.Since(now, a.acknowledged)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 	f.accept(now, now, request, reply)
 	f.step(now)
 	response := <-reply
-	a.taken, a.upstreams = response.HeardUpTo, f.out.sender.Position()
+	a.acknowledged, a.upstreams = response.HeardUpTo, f.out.sender.Position()
 	state, err := json.Marshal(response)
 	if err != nil {
 		b.Fatal(err)
--- a/control/voters.go
+++ b/control/voters.go
@@ -104,7 +104,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if refused != nil && !passing(refused) {
+		if refused != nil && !transient(refused) {
 			return nil, refused
 		}
 		if step == replaceDone && refused == nil {
@@ -129,7 +129,7 @@
 // transient reports whether a refusal is expected to resolve without intervention: an
 // instance that has just started, a change that is not committed yet, or a learner that is
 // still copying the log.
-func passing(err error) bool {
+func transient(err error) bool {
 	if waitsForInstance(err) {
 		return true
 	}
@@ -158,11 +158,11 @@
 	case replaceAddLearner:
 		next.Learners = append(append([]consensus.Member(nil), next.Learners...), added)
 	case replacePromote:
-		next.Learners = without(next.Learners, added.ID)
+		next.Learners = withoutMember(next.Learners, added.ID)
 		next.Voters = append(append([]consensus.Member(nil), next.Voters...), added)
 	case replaceRemove:
-		next.Voters = without(next.Voters, request.Old)
-		next.Learners = without(next.Learners, request.Old)
+		next.Voters = withoutMember(next.Voters, request.Old)
+		next.Learners = withoutMember(next.Learners, request.Old)
 	case replaceHandOver:
 		l.core.group.handOver(now)
 		return step, errNotLeader
@@ -223,7 +223,7 @@
 	return consensus.Member{ID: id, Address: instance.ControlAddress}, nil
 }
 
-func without(members []consensus.Member, id consensus.ID) []consensus.Member {
+func withoutMember(members []consensus.Member, id consensus.ID) []consensus.Member {
 	var kept []consensus.Member
 	for _, m := range members {
 		if m.ID != id {
