--- a/control/grants.go
+++ b/control/grants.go
@@ -24,9 +24,9 @@
 
 // statement is the last demand stated by an instance and the grants that it may be using.
 type statement struct {
-	demand []quota.Demand
-	at     time.Time
-	issued []issuedGrants // grants that it may be using or may still receive, oldest first
+	demand       []quota.Demand
+	at           time.Time
+	issuedGrants []issuedGrants // grants that it may be using or may still receive, oldest first
 }
 
 // issuedGrants are the grants sent in one response.
@@ -37,13 +37,15 @@
 }
 
 // prune removes issued grants that the instance will not use any more.
-func (s *statement) prune(gone func(issuedGrants) bool) { s.issued = slices.DeleteFunc(s.issued, gone) }
+func (s *statement) prune(gone func(issuedGrants) bool) {
+	s.issuedGrants = slices.DeleteFunc(s.issuedGrants, gone)
+}
 
 // outstanding returns the grants that the instance may use in addition to those that it
 // has confirmed.
 func (s *statement) outstanding() []quota.Grant {
 	var all []quota.Grant
-	for _, h := range s.issued {
+	for _, h := range s.issuedGrants {
 		all = append(all, h.grants...)
 	}
 	return all
@@ -76,7 +78,7 @@
 		return nil, a.number
 	}
 	grants := a.grants[instance]
-	s.issued = append(s.issued, issuedGrants{number: a.number, grants: grants, at: now})
+	s.issuedGrants = append(s.issuedGrants, issuedGrants{number: a.number, grants: grants, at: now})
 	return grants, a.number
 }
 
@@ -98,7 +100,7 @@
 func (a *allocation) expire(now time.Time) {
 	for name, s := range a.statements {
 		s.prune(func(h issuedGrants) bool { return now.Sub(h.at) > a.lease })
-		if now.Sub(s.at) > a.lease && len(s.issued) == 0 {
+		if now.Sub(s.at) > a.lease && len(s.issuedGrants) == 0 {
 			delete(a.statements, name)
 		}
 	}
--- a/control/repair_test.go
+++ b/control/repair_test.go
@@ -34,14 +34,14 @@
 		want     string
 		voting   int
 	}{
-		{"all is well", members("a", "b", "c"), nil, knownVoters{live: members("a", "b", "c"), settled: true}, "", 3},
-		{"one is down and nobody takes its place", members("a", "b", "c"), nil, knownVoters{live: members("a", "b"), settled: true}, "", 3},
+		{"all voters are live", members("a", "b", "c"), nil, knownVoters{live: members("a", "b", "c"), settled: true}, "", 3},
+		{"one is down and has no replacement", members("a", "b", "c"), nil, knownVoters{live: members("a", "b"), settled: true}, "", 3},
 		{"one is replaced", members("a", "b", "c"), nil, knownVoters{live: members("a", "b", "d"), settled: true}, "add a learner", 3},
-		{"the learner follows", members("a", "b", "c"), members("d"), knownVoters{live: members("a", "b", "d"), settled: true}, "promote a learner", 4},
-		{"the dead one leaves last", members("a", "b", "c", "d"), nil, knownVoters{live: members("a", "b", "d"), settled: true}, "remove a dead voter", 3},
-		{"a new leader has not heard of all", members("a", "b", "c", "d"), nil, knownVoters{live: members("a", "b", "d")}, "", 4},
-		{"a lost disk shows at once", members("a", "b", "c", "b2"), nil, knownVoters{live: []consensus.Member{member("a"), member("c"), reborn}}, "remove a dead voter", 3},
-		{"a learner that died leaves", members("a", "b", "c"), members("d"), knownVoters{live: members("a", "b"), settled: true}, "remove a dead learner", 3},
+		{"the learner is promoted", members("a", "b", "c"), members("d"), knownVoters{live: members("a", "b", "d"), settled: true}, "promote a learner", 4},
+		{"the dead voter is removed last", members("a", "b", "c", "d"), nil, knownVoters{live: members("a", "b", "d"), settled: true}, "remove a dead voter", 3},
+		{"a new leader does not know every instance yet", members("a", "b", "c", "d"), nil, knownVoters{live: members("a", "b", "d")}, "", 4},
+		{"a lost disk is detected at once", members("a", "b", "c", "b2"), nil, knownVoters{live: []consensus.Member{member("a"), member("c"), reborn}}, "remove a dead voter", 3},
+		{"a dead learner is removed", members("a", "b", "c"), members("d"), knownVoters{live: members("a", "b"), settled: true}, "remove a dead learner", 3},
 		{"no more than wanted", members("a", "b", "c"), nil, knownVoters{live: members("a", "b", "c", "d"), settled: true}, "", 3},
 	}
 	for _, test := range tests {
