--- a/control/attached_test.go
+++ b/control/attached_test.go
@@ -133,7 +133,7 @@
 	a.Leaving = true
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	if err := f.members[2].node.AnnounceSurely(ctx, *a); err != nil {
+	if err := f.members[2].node.AnnounceAndWait(ctx, *a); err != nil {
 		t.Fatal(err)
 	}
 	f.await("every instance knows that the upstream is leaving", func() bool {
@@ -295,7 +295,7 @@
 	a.Leaving = true
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	if err := attached.node.AnnounceSurely(ctx, *a); err != nil {
+	if err := attached.node.AnnounceAndWait(ctx, *a); err != nil {
 		t.Fatal(err)
 	}
 	var known upstream.Announcement
--- a/control/delivery_test.go
+++ b/control/delivery_test.go
@@ -31,7 +31,7 @@
 	for n := range engines {
 		waiting.Go(func() {
 			a := upstream.Announcement{Name: fmt.Sprint("e", n), Incarnation: 1, Sequence: 1, Address: fmt.Sprintf("10.0.0.%d:1", n), Targets: []string{"m"}, Leaving: true}
-			if err := alone.node.AnnounceSurely(ctx, a); err == nil {
+			if err := alone.node.AnnounceAndWait(ctx, a); err == nil {
 				t.Errorf("%s was acknowledged without a leader", a.Name)
 			}
 		})
--- a/control/node.go
+++ b/control/node.go
@@ -111,10 +111,10 @@
 	}
 }
 
-// AnnounceSurely submits an announcement and returns when the leader has it, so that the
+// AnnounceAndWait submits an announcement and returns when the leader has it, so that the
 // acknowledgement to the upstream is valid for every instance: the leader forwards a
 // leaving upstream to all instances at once.
-func (n *Node) AnnounceSurely(ctx context.Context, a upstream.Announcement) error {
+func (n *Node) AnnounceAndWait(ctx context.Context, a upstream.Announcement) error {
 	if err := n.do(ctx, func(now time.Time) { n.core.hear(now, a) }); err != nil {
 		return err
 	}
@@ -141,7 +141,7 @@
 	}
 	known.Leaving = true
 	known.Sequence++
-	return n.AnnounceSurely(ctx, known)
+	return n.AnnounceAndWait(ctx, known)
 }
 
 // Handle implements Operations.
