--- a/control/attached_test.go
+++ b/control/attached_test.go
@@ -243,7 +243,7 @@
 		{Name: "voter", Voter: true, ControlAddress: "10.0.0.9:1", AvailabilityZone: "a"},
 		{Name: "draining", State: membership.Draining, Address: "x", ControlAddress: "10.0.0.8:1", AvailabilityZone: "a"},
 	}
-	if got := hearingAddress(instances, "e", "a"); got != "" {
+	if got := receiverAddress(instances, "e", "a"); got != "" {
 		t.Errorf("no instance can receive announcements, but %s is named", got)
 	}
 	zones := map[string]string{}
@@ -256,7 +256,7 @@
 	}
 	counts := map[string]int{}
 	for n := range 300 {
-		address := hearingAddress(instances, fmt.Sprint("engine-", n), "a")
+		address := receiverAddress(instances, fmt.Sprint("engine-", n), "a")
 		if zones[address] != "a" {
 			t.Fatalf("an upstream of zone a announces to %q", address)
 		}
@@ -265,7 +265,7 @@
 	if len(counts) != 3 || slices.Min(slices.Collect(maps.Values(counts))) < 60 {
 		t.Errorf("distribution of 300 upstreams: %v", counts)
 	}
-	if got := hearingAddress(instances, "e", "zone without instances"); got == "" {
+	if got := receiverAddress(instances, "e", "zone without instances"); got == "" {
 		t.Error("no instance for an upstream of a zone without instances")
 	}
 }
--- a/control/hearing.go
+++ b/control/hearing.go
@@ -6,7 +6,7 @@
 	"celeryport/membership"
 )
 
-// HearingAddress returns the control address of the instance to which an upstream should
+// ReceiverAddress returns the control address of the instance to which an upstream should
 // send its announcements, empty if it should keep sending them to this one.
 //
 // Each upstream announces itself every second. If a few voters received the announcements
@@ -15,17 +15,17 @@
 // requests: each receives the announcements of a few upstreams, and sends the changes with
 // its own syncs. Instances of the upstream's availability zone are preferred, which avoids
 // traffic between zones.
-func (n *Node) HearingAddress(name, availabilityZone string) string {
+func (n *Node) ReceiverAddress(name, availabilityZone string) string {
 	if !n.opts.Process.Voter || !n.opts.FanOut {
 		return ""
 	}
-	return hearingAddress(n.View().Instances, name, availabilityZone)
+	return receiverAddress(n.View().Instances, name, availabilityZone)
 }
 
 // nameBufferSize is the buffer size in bytes for the names of an upstream and an instance.
 const nameBufferSize = 128
 
-func hearingAddress(instances []membership.Instance, name, availabilityZone string) string {
+func receiverAddress(instances []membership.Instance, name, availabilityZone string) string {
 	var best string
 	var bestNear bool
 	var most uint64
--- a/control/hearing_bench_test.go
+++ b/control/hearing_bench_test.go
@@ -7,9 +7,9 @@
 	"celeryport/membership"
 )
 
-// BenchmarkHearingAddress measures the choice of the instance that receives an upstream's
+// BenchmarkReceiverAddress measures the choice of the instance that receives an upstream's
 // announcements, which a voter makes for each announcement sent to it.
-func BenchmarkHearingAddress(b *testing.B) {
+func BenchmarkReceiverAddress(b *testing.B) {
 	var instances []membership.Instance
 	for i := range 300 {
 		instances = append(instances, membership.Instance{
@@ -18,6 +18,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		hearingAddress(instances, "i-7f3a91c2", "zone-1")
+		receiverAddress(instances, "i-7f3a91c2", "zone-1")
 	}
 }
