--- a/control/attached_test.go
+++ b/control/attached_test.go
@@ -15,8 +15,8 @@
 	"celeryport/upstream"
 )
 
-// newAttachingFleet starts voters, one in each of as many availability zones, and
-// instances that sync with any of them.
+// newAttachingFleet starts voters, each in an availability zone of its own, and instances
+// that sync with any of them.
 func newAttachingFleet(t *testing.T, voters, others int) *fleet {
 	t.Helper()
 	f := &fleet{t: t, timing: testTiming(), fanOut: true}
@@ -31,9 +31,9 @@
 func (n *testNode) attachedTo() string { return n.node.View().Leader }
 
 func TestInstancesAreAnsweredByTheVoterOfTheirZone(t *testing.T) {
-	// Hundreds of instances start together. If all of them sync with the leader, its
-	// small processor is taken by their syncs, its heartbeats are late, and the others
-	// elect a new leader, which meets the same. Operators' changes are then acknowledged
+	// Hundreds of instances start together. If all of them sync with the leader, the syncs
+	// saturate its small processor, its heartbeats are late, and the other voters elect a
+	// new leader, which is overloaded in turn. Operators' changes are then acknowledged
 	// late or never.
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 9)
@@ -71,10 +71,10 @@
 	})
 }
 
-func TestVoterThatIsCutOffIsLeft(t *testing.T) {
-	// A voter is cut off from the other voters, but the instances attached to it reach it
-	// and the others. It goes on answering them. If they stayed with it, their callers
-	// would be served by old settings for as long as the cut lasts.
+func TestInstancesLeaveAPartitionedVoter(t *testing.T) {
+	// A voter is partitioned from the other voters, but not from the instances attached to
+	// it, and continues to answer them. If they stayed attached to it, their callers would
+	// be served by outdated settings for as long as the partition lasts.
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 3)
 	first := f.apply(0, "a", testTree(1))
@@ -87,16 +87,16 @@
 		}
 	}
 	f.await("the instance attached to its voter", func() bool { return attached.attachedTo() == cutOff.process.ControlListen })
-	f.network.cut(cutOff.process.ControlListen, attached.process.ControlListen)
+	f.network.partition(cutOff.process.ControlListen, attached.process.ControlListen)
 	second := f.apply(first.Revision, "b", testTree(2))
-	f.awaitOne(attached, second.Revision)
-	f.network.heal(cutOff.process.ControlListen)
-	f.await("the instance back at its voter", func() bool { return attached.attachedTo() == cutOff.process.ControlListen })
+	f.awaitInstalledAt(attached, second.Revision)
+	f.network.reconnect(cutOff.process.ControlListen)
+	f.await("the instance attached to its voter again", func() bool { return attached.attachedTo() == cutOff.process.ControlListen })
 }
 
-func TestLossOfAVoterIsMadeGoodByTheOthers(t *testing.T) {
-	// The voter that answers an instance dies. The instance must hear of changes, and
-	// the others of its end, through another voter.
+func TestAttachedInstancesSurviveTheLossOfTheirVoter(t *testing.T) {
+	// The voter that an instance is attached to dies. The instance must receive changes,
+	// and the others must learn that the voter is gone, through another voter.
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 3)
 	first := f.apply(0, "a", testTree(1))
@@ -105,11 +105,11 @@
 	f.await("the instance attached to its voter", func() bool { return attached.attachedTo() == f.members[0].process.ControlListen })
 	f.crash(f.members[0])
 	second := f.apply(first.Revision, "b", testTree(2))
-	f.awaitOne(attached, second.Revision)
+	f.awaitInstalledAt(attached, second.Revision)
 	f.start(f.members[0], nil)
-	f.await("the instance back at its voter", func() bool { return attached.attachedTo() == f.members[0].process.ControlListen })
+	f.await("the instance attached to its voter again", func() bool { return attached.attachedTo() == f.members[0].process.ControlListen })
 	f.crash(attached)
-	f.await("the dead instance gone", func() bool {
+	f.await("the dead instance is gone", func() bool {
 		for _, i := range f.members[4].node.View().Instances {
 			if i.Name == attached.process.Name {
 				return i.State == membership.Gone
@@ -120,9 +120,9 @@
 }
 
 func TestLeavingUpstreamReachesAttachedInstances(t *testing.T) {
-	// An upstream tells one voter that it leaves, and counts on getting nothing new soon
-	// after it is acknowledged. Instances that are attached to other voters must hear it
-	// at once, not when their next sync is due.
+	// An upstream notifies one voter that it is leaving, and relies on getting no new
+	// requests soon after the acknowledgement. Instances attached to other voters must be
+	// notified at once, not when their next sync is due.
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 6)
 	first := f.apply(0, "a", testTree(1))
@@ -133,10 +133,10 @@
 	a.Leaving = true
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	if err := f.members[2].node.AnnounceSurely(ctx, *a); err != nil {
+	if err := f.members[2].node.AnnounceAndWait(ctx, *a); err != nil {
 		t.Fatal(err)
 	}
-	f.await("every instance knows that it leaves", func() bool {
+	f.await("every instance knows that the upstream is leaving", func() bool {
 		for _, m := range f.members {
 			if !m.sees(a.Name, upstream.Leaving, 0) {
 				return false
@@ -146,7 +146,7 @@
 	})
 }
 
-func TestAttachedInstanceOutgrowsItsFormerIncarnation(t *testing.T) {
+func TestAttachedInstanceDrawsAHigherIncarnation(t *testing.T) {
 	// The machine's clock went back while the instance was down, so it starts with an
 	// incarnation below that of its former process, which the leader knows. If it never
 	// drew a higher one, it would get no settings until the clock caught up.
@@ -168,13 +168,13 @@
 	}
 	back := f.add(3, false, listener)
 	f.await("a higher incarnation", func() bool { return back.node.View().Incarnation > far })
-	f.awaitOne(back, first.Revision)
+	f.awaitInstalledAt(back, first.Revision)
 }
 
-func TestInstancesThatJoinWakeNoOther(t *testing.T) {
-	// A fleet of 300 instances starts within a moment, and each is attached to one of a
-	// few voters. If every one that joins wakes all that wait for news, a voter sends a
-	// hundred answers for each, and is busy for seconds while it should elect a leader.
+func TestJoiningInstancesWakeNoHeldSyncs(t *testing.T) {
+	// A fleet of 300 instances starts at once, and each is attached to one of a few
+	// voters. If every instance that joins wakes all held syncs, a voter sends a hundred
+	// responses for each, and is busy for seconds while it should elect a leader.
 	now := time.Unix(1_700_000_000, 0)
 	c := newTestCore(t)
 	c.group = &group{core: c, machine: state.New()}
@@ -195,20 +195,20 @@
 		answered += len(reply)
 	}
 	if answered > 0 {
-		t.Errorf("%d of %d instances were woken because others joined", answered, fleetSize)
+		t.Errorf("%d of %d held syncs were answered because others joined", answered, fleetSize)
 	}
 	c.fanout.step(now.Add(time.Second))
 	for _, reply := range waiting {
 		if r := <-reply; len(r.Members.list) != fleetSize {
-			t.Fatalf("an answer that was due names %d instances, want %d", len(r.Members.list), fleetSize)
+			t.Fatalf("a due response names %d instances, want %d", len(r.Members.list), fleetSize)
 		}
 	}
 }
 
 func TestInstancesWithoutSettingsWaitAtTheirVoter(t *testing.T) {
-	// The voters of a fleet that starts have no settings and no leader yet. If each
-	// instance asks all of them again and again meanwhile, they have no time to elect a
-	// leader, and nobody serves for seconds.
+	// The voters of a starting fleet have no settings and no leader yet. If each instance
+	// repeatedly asked all of them in the meantime, they would have no time to elect a
+	// leader, and no instance could serve for seconds.
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 0)
 	for _, m := range f.members[1:] {
@@ -231,20 +231,20 @@
 		return held == 1
 	})
 	if calls := bare.node.clients.Stats().Calls.Load(); calls > 3 {
-		t.Errorf("%d calls until the voter held one", calls)
+		t.Errorf("%d calls before the voter held one", calls)
 	}
 }
 
-func TestUpstreamsAreHeardByInstancesOfTheirZone(t *testing.T) {
-	// Hundreds of upstreams announce themselves every second. If a few voters hear all of
-	// them, their small processors have no time for anything else, and upstreams that
-	// leave are not acknowledged.
+func TestUpstreamsAnnounceToInstancesOfTheirZone(t *testing.T) {
+	// Hundreds of upstreams announce themselves every second. If a few voters receive the
+	// announcements of all of them, their small processors have no time for anything else,
+	// and leaving upstreams are not acknowledged.
 	instances := []membership.Instance{
 		{Name: "voter", Voter: true, ControlAddress: "10.0.0.9:1", AvailabilityZone: "a"},
 		{Name: "draining", State: membership.Draining, Address: "x", ControlAddress: "10.0.0.8:1", AvailabilityZone: "a"},
 	}
-	if got := hearingAddress(instances, "e", "a"); got != "" {
-		t.Errorf("nobody is there to hear an upstream, and %s is named", got)
+	if got := receiverAddress(instances, "e", "a"); got != "" {
+		t.Errorf("no instance can receive announcements, but %s is named", got)
 	}
 	zones := map[string]string{}
 	for n := range 6 {
@@ -256,24 +256,24 @@
 	}
 	counts := map[string]int{}
 	for n := range 300 {
-		address := hearingAddress(instances, fmt.Sprint("engine-", n), "a")
+		address := receiverAddress(instances, fmt.Sprint("engine-", n), "a")
 		if zones[address] != "a" {
-			t.Fatalf("an upstream of zone a is heard at %q", address)
+			t.Fatalf("an upstream of zone a announces to %q", address)
 		}
 		counts[address]++
 	}
 	if len(counts) != 3 || slices.Min(slices.Collect(maps.Values(counts))) < 60 {
-		t.Errorf("300 upstreams are heard so: %v", counts)
+		t.Errorf("distribution of 300 upstreams: %v", counts)
 	}
-	if got := hearingAddress(instances, "e", "zone without instances"); got == "" {
-		t.Error("an upstream of a zone without instances is heard by nobody")
+	if got := receiverAddress(instances, "e", "zone without instances"); got == "" {
+		t.Error("no instance for an upstream of a zone without instances")
 	}
 }
 
 func TestLeavingUpstreamIsAcknowledgedWhenTheLeaderHasIt(t *testing.T) {
-	// An upstream tells an attached instance that it leaves. The voter of that instance is
-	// cut off from the others. If the word were acknowledged by then, the others would
-	// send calls to an engine that ends.
+	// An upstream notifies an attached instance that it is leaving while the voter of that
+	// instance is partitioned from the others. If the message were acknowledged at that
+	// point, the others would send requests to an engine that stops.
 	t.Parallel()
 	f := newAttachingFleet(t, 3, 3)
 	first := f.apply(0, "a", testTree(1))
@@ -290,25 +290,26 @@
 	f.await("the instance attached to its voter", func() bool { return attached.attachedTo() == cutOff.process.ControlListen })
 	a := &upstream.Announcement{Name: "e1", Incarnation: 1, Address: "10.0.0.1:9", Targets: []string{"m"}}
 	f.awaitSeen(a, attached, upstream.Fresh)
-	f.network.cut(cutOff.process.ControlListen, attached.process.ControlListen)
+	f.network.partition(cutOff.process.ControlListen, attached.process.ControlListen)
 	a.Sequence++
 	a.Leaving = true
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	if err := attached.node.AnnounceSurely(ctx, *a); err != nil {
+	if err := attached.node.AnnounceAndWait(ctx, *a); err != nil {
 		t.Fatal(err)
 	}
 	var known upstream.Announcement
 	err := leader.node.do(t.Context(), func(time.Time) { known, _ = leader.node.core.known.Find(a.Name) })
 	if err != nil || !known.Leaving {
-		t.Errorf("it was acknowledged, and the leader takes it for leaving: %t, %v", known.Leaving, err)
+		t.Errorf("leaving was acknowledged, but on the leader Leaving is %t, error %v", known.Leaving, err)
 	}
 	f.await("the others know", func() bool { return other.sees(a.Name, upstream.Leaving, 0) })
 }
 
-func TestInstancesSurviveTheWire(t *testing.T) {
-	// A list that goes to many is packed. One that can't be read must be refused whole: an
-	// instance that took a part of it for all would hand out no others.
+func TestMemberDeltaIsDecodedWholeOrRejected(t *testing.T) {
+	// A list that is sent to many instances is compressed. A list that cannot be decoded
+	// must be rejected as a whole: an instance that took a part of it for the whole would
+	// give out no other addresses.
 	list := []membership.Instance{{Name: "a", Incarnation: 3, Address: "10.0.0.1:1"}, {Name: "b", State: membership.Draining}}
 	packed, err := packMembers(list)
 	if err != nil {
@@ -325,18 +326,18 @@
 		}
 		var cut memberDelta
 		if err := cut.UnmarshalJSON(data[:len(data)/2]); err == nil {
-			t.Errorf("%s: half of it was taken: %v", name, cut.list)
+			t.Errorf("%s: a truncated list was decoded in part: %v", name, cut.list)
 		}
 	}
 	if err := new(memberDelta).UnmarshalJSON([]byte(`"KLUv/QAAAAAAAAAA"`)); err == nil {
-		t.Error("a damaged list was taken")
+		t.Error("a damaged list was accepted")
 	}
 }
 
-func TestUrgentNewsWakesAttachedInstances(t *testing.T) {
-	// An engine leaves, or settings change, while an instance's sync is held. If that waited
-	// for the next answer, the instance would go on sending calls to the engine, or serving
-	// by old settings, for half a second with each voter on the way.
+func TestUrgentChangesWakeAttachedInstances(t *testing.T) {
+	// An engine leaves, or settings change, while an instance's sync is held. If the
+	// response waited until it was due, the instance would continue to send requests to
+	// the engine, or to serve by the old settings, for half a second per voter on the way.
 	now := time.Unix(1_700_000_000, 0)
 	c := newTestCore(t)
 	c.group = &group{core: c, machine: state.New()}
@@ -358,19 +359,19 @@
 	c.hear(now, engine)
 	now = now.Add(relayInterval)
 	if c.fanout.step(now); len(held) > 0 {
-		t.Error("an engine that announces itself again wakes instances")
+		t.Error("a repeated announcement of an engine wakes instances")
 	}
 	engine.Sequence++
 	engine.Leaving = true
 	c.hear(now, engine)
 	if c.fanout.step(now); len(held) == 0 {
-		t.Error("an engine leaves, and the instance is not told at once")
+		t.Error("a leaving engine does not wake the instance")
 	}
 	held = hold()
 	if err := c.installed.install(7, testTree(7)); err != nil {
 		t.Fatal(err)
 	}
 	if c.fanout.step(now); len(held) == 0 {
-		t.Error("settings have changed, and the instance is not told at once")
+		t.Error("changed settings do not wake the instance")
 	}
 }
--- a/control/claims.go
+++ b/control/claims.go
@@ -17,25 +17,25 @@
 const (
 	claimResend   = 250 * time.Millisecond
 	claimBackoff  = 20 * time.Millisecond
-	claimDeadline = 2 * time.Second // when the caller's context has none
-	claimKept     = time.Hour       // how long a claim that was won waits for its outcome
+	claimDeadline = 2 * time.Second // used if the caller's context has no deadline
+	wonClaimTTL   = time.Hour       // how long a won claim is kept while its outcome is unknown
 )
 
-// claimGroup is the set of voters on claims and where to reach them.
+// claimGroup is the set of voters on claims and their addresses.
 type claimGroup struct {
 	epoch     claim.Epoch
 	addresses map[consensus.ID]string
 }
 
-// wonClaims remembers the claims that were won until their outcome is known.
+// wonClaims holds the claims that were won until their outcome is known.
 type wonClaims struct {
-	mu    sync.Mutex
-	won   map[claim.Holder]*claimDriver
-	swept time.Time
+	mu        sync.Mutex
+	won       map[claim.Holder]*claimDriver
+	lastSweep time.Time
 }
 
-// put remembers a claim, and forgets those whose outcome never came: their key
-// stays claimed at the voters, which is the safe end.
+// put adds a claim and removes those whose outcome was never reported: their keys remain
+// claimed at the voters, which is the safe result.
 func (w *wonClaims) put(now time.Time, h claim.Holder, d *claimDriver) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -43,18 +43,18 @@
 		w.won = map[claim.Holder]*claimDriver{}
 	}
 	w.won[h] = d
-	if now.Sub(w.swept) < claimKept/2 {
+	if now.Sub(w.lastSweep) < wonClaimTTL/2 {
 		return
 	}
-	w.swept = now
+	w.lastSweep = now
 	for holder, old := range w.won {
-		if now.Sub(old.startedAt) > claimKept {
+		if now.Sub(old.startedAt) > wonClaimTTL {
 			delete(w.won, holder)
 		}
 	}
 }
 
-func (w *wonClaims) take(h claim.Holder) *claimDriver {
+func (w *wonClaims) remove(h claim.Holder) *claimDriver {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	d := w.won[h]
@@ -62,7 +62,7 @@
 	return d
 }
 
-// Claim implements Plane. The result Won holds until the deadline of ctx.
+// Claim implements Plane. A result of Won is valid until the deadline of ctx.
 func (n *Node) Claim(ctx context.Context, key claim.Key, holder claim.Holder) ClaimResult {
 	group := n.claimGroup.Load()
 	if group == nil || group.epoch.Number == 0 {
@@ -75,7 +75,7 @@
 		Key:      key,
 		Holder:   holder,
 		Epoch:    group.epoch,
-		Deadline: claimUntil(ctx, now),
+		Deadline: claimDeadlineOf(ctx, now),
 		Resend:   claimResend,
 		Backoff:  claimBackoff,
 		Rand:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
@@ -87,30 +87,30 @@
 	return result
 }
 
-func claimUntil(ctx context.Context, now time.Time) time.Time {
+func claimDeadlineOf(ctx context.Context, now time.Time) time.Time {
 	if deadline, found := ctx.Deadline(); found {
 		return deadline
 	}
 	return now.Add(claimDeadline)
 }
 
-// Settle implements Plane. It goes on in the background until the voters have
-// confirmed or the attempts are used up.
+// Settle implements Plane. It continues in the background until the voters have confirmed
+// or the attempts are exhausted.
 func (n *Node) Settle(_ claim.Key, holder claim.Holder, outcome claim.Outcome) {
-	if d := n.wonClaims.take(holder); d != nil {
+	if d := n.wonClaims.remove(holder); d != nil {
 		go d.settle(outcome)
 	}
 }
 
-// carryClaim brings a message to a voter, this instance's own included, and
-// returns the answers.
-func (n *Node) carryClaim(ctx context.Context, m claim.Message) ([]claim.Message, error) {
+// sendClaim sends a message to a voter, which may be this instance's own, and returns the
+// answers.
+func (n *Node) sendClaim(ctx context.Context, m claim.Message) ([]claim.Message, error) {
 	if n.claimVoter != nil && n.core.group.id == m.To {
 		return n.claimVoter.ask(ctx, m)
 	}
 	group := n.claimGroup.Load()
 	if group == nil || group.addresses[m.To] == "" {
-		return nil, errNoVoterHere
+		return nil, errNotVoter
 	}
 	data, err := claim.EncodeMessage(&m)
 	if err != nil {
@@ -132,7 +132,7 @@
 // Claim implements rpc.Control.
 func (s *service) Claim(ctx context.Context, in *rpc.ClaimRequest) (*rpc.ClaimResponse, error) {
 	if s.node.claimVoter == nil {
-		return nil, rpc.ToTwirp(errNoVoterHere)
+		return nil, rpc.ToTwirp(errNotVoter)
 	}
 	m, err := claim.DecodeMessage(in.Message)
 	if err != nil {
--- a/control/claimstate.go
+++ b/control/claimstate.go
@@ -5,15 +5,15 @@
 	"celeryport/event"
 )
 
-// takeLifetime brings the lifetime of keys in line with the settings in force.
-func (v *claimVoter) takeLifetime() {
+// updateLifetime applies the lifetime of keys from the settings in force.
+func (v *claimVoter) updateLifetime() {
 	if tree := v.node.View().Tree; tree != nil {
 		v.voter.SetLifetime(tree.Fleet.KeyLifetime)
 	}
 }
 
-// noteState logs when the voter begins or ceases to vote.
-func (v *claimVoter) noteState() {
+// logState logs when the voter starts or stops voting.
+func (v *claimVoter) logState() {
 	status := v.voter.Status()
 	if status.Full && !v.full {
 		claim.EventFull.Log(v.node.log, event.Fields{"votes": status.Votes})
--- a/control/claimvoter.go
+++ b/control/claimvoter.go
@@ -16,27 +16,26 @@
 )
 
 const (
-	claimsFolder  = "claims"
-	claimQueue    = 1024
-	claimTick     = time.Second
-	compactClaims = 16 << 20 // bytes of the vote log from which on it is rewritten
+	claimsFolder      = "claims"
+	claimQueue        = 1024
+	claimTick         = time.Second
+	compactClaimBytes = 16 << 20 // size of the vote log in bytes from which it is rewritten
 )
 
-// claimVoter keeps the votes of this instance. One goroutine owns it; what
-// arrives while a sync is under way shares the next one, so that the cost of a
-// sync is divided by the load.
+// claimVoter stores the votes of this instance. A single goroutine owns it. Requests that
+// arrive during a sync share the next one, which divides the cost of a sync between them.
 type claimVoter struct {
 	node     *Node
 	voter    *claim.Voter
 	records  *wal.Records
 	requests chan claimRequest
 	epochs   chan claim.Epoch
-	rewrite  int64       // size from which on the log is rewritten
+	rewrite  int64       // size from which the log is rewritten
 	votes    atomic.Bool // whether it votes, as last logged
 	full     bool        // whether it is full, as last logged
 }
 
-// claimRequest is one message and where its answers go.
+// claimRequest is a message and the channel for its answers.
 type claimRequest struct {
 	message claim.Message
 	reply   chan<- claimReply
@@ -47,8 +46,8 @@
 	err      error
 }
 
-// openClaims opens the votes of a voter. The lifetime of keys is that of the
-// settings at the start of the process; a change counts from the next start on.
+// openClaims opens the stored votes of a voter. The lifetime of keys is taken from the
+// settings at the start of the process.
 func openClaims(n *Node, folder dataFolder, id consensus.ID, lifetime time.Duration) (*claimVoter, error) {
 	records, raw, err := wal.OpenRecords(filepath.Join(folder.path, claimsFolder), folder.fs, wal.Options{Logger: n.log})
 	if err != nil {
@@ -69,12 +68,12 @@
 		return nil, errors.CombineErrors(err, records.Close())
 	}
 	return &claimVoter{
-		node: n, voter: voter, records: records, rewrite: compactClaims,
+		node: n, voter: voter, records: records, rewrite: compactClaimBytes,
 		requests: make(chan claimRequest, claimQueue), epochs: make(chan claim.Epoch, claimQueue),
 	}, nil
 }
 
-// run owns the voter until ctx ends or a sync fails.
+// run processes requests until ctx is done or a sync fails.
 func (v *claimVoter) run(ctx context.Context) error {
 	ticker := time.NewTicker(claimTick)
 	defer ticker.Stop()
@@ -88,7 +87,7 @@
 		case e := <-v.epochs:
 			v.voter.Enter(v.node.clock.Now(), e)
 		case <-ticker.C:
-			v.takeLifetime()
+			v.updateLifetime()
 			v.voter.Tick(v.node.clock.Now())
 		}
 		if err := v.process(ctx, batch); err != nil {
@@ -105,8 +104,8 @@
 	return batch
 }
 
-// process steps a batch, syncs what it changed in one write and only then
-// answers: a vote that was answered and lost in a crash could be given again.
+// process handles a batch, syncs all resulting records in one write and only then answers:
+// a vote that was answered but lost in a crash could be given again to another holder.
 func (v *claimVoter) process(ctx context.Context, batch []claimRequest) error {
 	now := v.node.clock.Now()
 	own := v.voter.Ready()
@@ -116,7 +115,7 @@
 		v.voter.Step(now, batch[i].message)
 		ready := v.voter.Ready()
 		records = append(records, ready.Records...)
-		answers[i].messages, own.Messages = v.divide(&batch[i], ready.Messages, own.Messages)
+		answers[i].messages, own.Messages = v.splitMessages(&batch[i], ready.Messages, own.Messages)
 	}
 	if err := v.sync(records); err != nil {
 		for i := range batch {
@@ -130,12 +129,12 @@
 	for i := range own.Messages {
 		go v.send(ctx, own.Messages[i])
 	}
-	v.noteState()
+	v.logState()
 	return nil
 }
 
-// divide separates the answers to a request from messages to other voters.
-func (v *claimVoter) divide(r *claimRequest, messages, others []claim.Message) (answers, rest []claim.Message) {
+// splitMessages separates the answers to a request from messages to other voters.
+func (v *claimVoter) splitMessages(r *claimRequest, messages, others []claim.Message) (answers, rest []claim.Message) {
 	for _, m := range messages {
 		if m.To == r.message.From && m.Kind == r.message.Kind+1 {
 			answers = append(answers, m)
@@ -167,7 +166,7 @@
 	if err := v.records.Rewrite(whole); err != nil {
 		return err
 	}
-	v.rewrite = compactClaims + 2*v.records.Size()
+	v.rewrite = compactClaimBytes + 2*v.records.Size()
 	return nil
 }
 
@@ -183,9 +182,9 @@
 	return encoded, nil
 }
 
-// send carries a message to another voter and brings its answer back.
+// send sends a message to another voter and enqueues the answers.
 func (v *claimVoter) send(ctx context.Context, m claim.Message) {
-	answers, err := v.node.carryClaim(ctx, m)
+	answers, err := v.node.sendClaim(ctx, m)
 	if err != nil {
 		return // asked again with the next tick
 	}
@@ -200,8 +199,8 @@
 
 var errVoterFailed = verdict.Refuse(verdict.ReasonStorageFailed, 0, "this voter can't keep votes any more")
 
-// fail refuses everything from now on. A vote that could not be synced may not
-// be given, and none that was given may be forgotten.
+// fail rejects all further requests. A vote that could not be synced must not be given,
+// and none that was given may be lost.
 func (v *claimVoter) fail(ctx context.Context, cause error) error {
 	eventStorageFailed.Log(v.node.log, event.Fields{"error": cause, "folder": claimsFolder})
 	for {
@@ -215,7 +214,7 @@
 	}
 }
 
-// ask hands a message to the voter and waits for its answers.
+// ask passes a message to the voter and waits for its answers.
 func (v *claimVoter) ask(ctx context.Context, m claim.Message) ([]claim.Message, error) {
 	reply := make(chan claimReply, 1)
 	select {
@@ -231,8 +230,8 @@
 	}
 }
 
-// enter tells the voter of an epoch. The epochs that don't fit are told again
-// after the next restart or change; meanwhile the voter abstains.
+// enter passes an epoch to the voter. An epoch dropped because the queue is full is passed
+// again after the next restart or change; until then the voter abstains.
 func (v *claimVoter) enter(e claim.Epoch) {
 	select {
 	case v.epochs <- e:
--- a/control/delivery_test.go
+++ b/control/delivery_test.go
@@ -12,17 +12,17 @@
 )
 
 func TestLeavingUpstreamsDoNotKeepVotersFromElecting(t *testing.T) {
-	// A third of the engines are replaced, and the voters are killed and come back. Each
-	// engine that leaves waits at a voter for a leader. If the voter asked all others for
-	// one on behalf of each, again and again, they would have no time to elect one, and
-	// neither settings nor engines were acknowledged for seconds.
+	// A third of the engines are replaced, and the voters are killed and restarted. Each
+	// leaving engine waits at a voter for a leader. If the voter searched for a leader
+	// separately for each engine, the voters would have no time to elect one, and neither
+	// settings nor engines would be acknowledged for seconds.
 	f := newAttachingFleet(t, 3, 0)
 	first := f.apply(0, "a", testTree(1))
 	f.awaitInstalled(first.Revision)
 	for _, m := range f.members {
 		f.crash(m)
 	}
-	f.timing.Retry = time.Hour // each that looks for a leader does it once in this test
+	f.timing.Retry = time.Hour // each search for a leader is made only once in this test
 	alone := f.members[0]
 	f.start(alone, nil) // without a majority
 	const engines = 60
@@ -31,7 +31,7 @@
 	for n := range engines {
 		waiting.Go(func() {
 			a := upstream.Announcement{Name: fmt.Sprint("e", n), Incarnation: 1, Sequence: 1, Address: fmt.Sprintf("10.0.0.%d:1", n), Targets: []string{"m"}, Leaving: true}
-			if err := alone.node.AnnounceSurely(ctx, a); err == nil {
+			if err := alone.node.AnnounceAndWait(ctx, a); err == nil {
 				t.Errorf("%s was acknowledged without a leader", a.Name)
 			}
 		})
@@ -44,17 +44,17 @@
 	end()
 	waiting.Wait()
 	if calls := alone.node.clients.Stats().Calls.Load(); calls > engines/2 {
-		t.Errorf("%d engines that wait had %d calls sent to the other voters", engines, calls)
+		t.Errorf("%d waiting engines caused %d calls to the other voters", engines, calls)
 	}
 	var left int
 	if err := alone.node.do(t.Context(), func(time.Time) { left = len(alone.node.core.fanout.delivery.waiting) }); err != nil || left > 0 {
-		t.Errorf("%d that gave up are still kept, %v", left, err)
+		t.Errorf("%d waiters are still registered after their context ended, error %v", left, err)
 	}
 }
 
-func TestDeliveryEndsInOrder(t *testing.T) {
+func TestDeliveryCompletesInOrder(t *testing.T) {
 	var d delivery
-	first, second := d.await(d.note()), d.await(d.note())
+	first, second := d.await(d.nextMark()), d.await(d.nextMark())
 	ended := func(c chan struct{}) bool {
 		select {
 		case <-c:
@@ -63,51 +63,51 @@
 			return false
 		}
 	}
-	d.takenUpTo(1)
+	d.acknowledge(1)
 	if !ended(first) || ended(second) {
-		t.Error("a leader has the first and not the second, and the waits say otherwise")
+		t.Error("acknowledging the first mark must end the first wait only")
 	}
-	d.takenUpTo(0) // an older answer, late
+	d.acknowledge(0) // an older response that arrives late
 	if ended(second) {
-		t.Error("an older answer ended a wait")
+		t.Error("an older response ended a wait")
 	}
-	d.takenUpTo(2)
+	d.acknowledge(2)
 	if !ended(second) || !ended(d.await(2)) {
-		t.Error("a leader has all, and somebody waits")
+		t.Error("a wait continues although a leader has acknowledged every mark")
 	}
 }
 
-// Guards against telling an upstream that its leaving is known, when the answer came from a voter
-// or a leader that lacks what was sent to the one before and took nothing.
-func TestAnswerOfWhoLacksEarlierBatchesIsNoDelivery(t *testing.T) {
+// Guards against acknowledging a leaving upstream although the response came from a voter
+// or a leader that lacks earlier batches and applied nothing.
+func TestAnswerLackingEarlierBatchesIsNoDelivery(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	c := newTestCore(t)
 	c.group = &group{core: c, machine: state.New()}
 	c.fanout = newFanout(c)
 	hear := func(sequence uint64) {
 		c.hear(now, upstream.Announcement{Name: "e", Incarnation: 1, Sequence: sequence, Address: "10.0.0.1:9", Targets: []string{"m"}, Leaving: sequence > 1})
-		c.gathered(now)
+		c.gatherPosition(now)
 	}
 	hear(1)
 	c.position = syncPosition{epoch: "old", heardUpTo: c.out.sender.Position()}
 	hear(2)
-	done := c.fanout.delivery.await(c.fanout.delivery.note())
+	done := c.fanout.delivery.await(c.fanout.delivery.nextMark())
 	answer := func(epoch string, upTo uint64) *searchAnswer {
 		request, _ := c.syncRequest(now, 0)
 		return &searchAnswer{target: "a", sentAt: now, request: &request, response: &syncResponse{Epoch: epoch, HeardUpTo: upTo}}
 	}
-	if err := c.takeSync(now, answer("new", 0)); err != nil {
+	if err := c.applySync(now, answer("new", 0)); err != nil {
 		t.Fatal(err)
 	}
 	if len(c.fanout.delivery.waiting) == 0 {
-		t.Error("it counts as delivered to a leader that took nothing")
+		t.Error("delivered, although the leader has applied nothing")
 	}
-	if err := c.takeSync(now, answer("new", c.out.sender.Position())); err != nil {
+	if err := c.applySync(now, answer("new", c.out.sender.Position())); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case <-done:
 	default:
-		t.Error("it does not count as delivered to a leader that has all")
+		t.Error("not delivered, although the leader has applied everything")
 	}
 }
--- a/control/documents_test.go
+++ b/control/documents_test.go
@@ -9,7 +9,7 @@
 	"celeryport/control/state"
 )
 
-// putDocument puts a document at one node, again until there is a clear answer.
+// putDocument puts a document at one node and repeats it until the outcome is known.
 func (f *fleet) putDocument(at *testNode, version uint64, text []byte) state.Outcome {
 	f.t.Helper()
 	var outcome state.Outcome
@@ -23,7 +23,8 @@
 	return outcome
 }
 
-// readAccepted reads the accepted document at one node until it answers.
+// readAccepted reads the accepted document at one node and repeats the read until it
+// succeeds.
 func (f *fleet) readAccepted(at *testNode) *Accepted {
 	f.t.Helper()
 	var found *Accepted
@@ -37,11 +38,11 @@
 	return found
 }
 
-func TestHighestVersionHoldsWhateverTheOrder(t *testing.T) {
-	// Two operators send documents at the same time, an acknowledgement is lost and
-	// the document is sent again elsewhere, and an old one arrives late. If anything
-	// but the highest version came into force, an operator's change would be undone
-	// without a word.
+func TestHighestVersionWinsInAnyOrder(t *testing.T) {
+	// Two operators send documents at the same time, an acknowledgement is lost and the
+	// document is sent again to another instance, and an old document arrives late. If
+	// anything but the highest version came into force, an operator's change would be
+	// undone silently.
 	f := newFleet(t, 3, 1)
 	if got := f.putDocument(f.members[0], 7, testTree(7)); got.Kind != state.Accepted {
 		t.Fatalf("the first document: %+v", got)
@@ -77,21 +78,21 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if outcome, err := f.leader().node.PutDocument(ctx, 2, []byte("[nonsense")); err == nil {
-		t.Errorf("taken: %+v", outcome)
+		t.Errorf("accepted: %+v", outcome)
 	}
 	if found := f.readAccepted(f.members[0]); found.Revision.Version != 1 {
 		t.Errorf("version %d is accepted", found.Revision.Version)
 	}
 }
 
-func TestCutOffLeaderAnswersNoRead(t *testing.T) {
-	// A leader is cut off and does not know yet that the others have elected a new one
-	// and accepted a change. A read that it answered would show the operator the state
-	// before.
+func TestPartitionedLeaderAnswersNoRead(t *testing.T) {
+	// A leader is partitioned and does not know yet that the others have elected a new one
+	// and accepted a change. A read answered by it would show the operator the state
+	// before the change.
 	f := newFleet(t, 3, 0)
 	f.putDocument(f.members[0], 1, testTree(1))
 	old := f.leader()
-	f.network.cut(old.process.ControlListen)
+	f.network.partition(old.process.ControlListen)
 	var other *testNode
 	for _, m := range f.members {
 		if m != old {
@@ -102,6 +103,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
 	if found, err := old.node.ReadAccepted(ctx); err == nil && found.Revision.Version < 2 {
-		t.Errorf("the leader that was cut off read version %d", found.Revision.Version)
+		t.Errorf("the partitioned leader read version %d", found.Revision.Version)
 	}
 }
--- a/control/memberlist.go
+++ b/control/memberlist.go
@@ -10,31 +10,31 @@
 
 // memberList is an instance's copy of the leader's membership table.
 //
-// A new leader starts with an empty table and never hears of an instance that
-// died with its predecessor, the predecessor itself included. Such an instance
-// would be handed out to callers for ever. So once the new leader has led long
-// enough to know every instance that lives, those that it never named are gone.
+// A new leader starts with an empty table and never learns of an instance that died
+// together with its predecessor, or of the predecessor itself. Such an instance would be
+// given to callers forever. Therefore, once the new leader has led long enough to know
+// every live instance, those that it has never named are marked as gone.
 type memberList struct {
-	byName  map[string]listed
+	byName  map[string]memberEntry
 	sorted  []membership.Instance // nil after a change
-	settled bool                  // the present leader knows every instance
+	settled bool                  // the current leader knows every live instance
 
-	revision uint64 // grows with each change that others must learn
+	revision uint64 // incremented with each change that others must learn
 }
 
-// listed is one instance of the list.
-type listed struct {
+// memberEntry is one instance of the list.
+type memberEntry struct {
 	instance  membership.Instance
-	named     bool      // by the present leader
+	named     bool      // by the current leader
 	goneSince time.Time // zero: not gone
 	changed   uint64    // revision of the list at the last change that others must learn
 }
 
-func newMemberList() memberList { return memberList{byName: map[string]listed{}} }
+func newMemberList() memberList { return memberList{byName: map[string]memberEntry{}} }
 
-// follow begins to learn from another leader. What the former one said is kept
-// until then, since an empty list would leave callers without addresses.
-func (l *memberList) follow() {
+// startEpoch prepares for the updates of another leader. The instances named by the former
+// one are kept, because an empty list would leave callers without addresses.
+func (l *memberList) startEpoch() {
 	l.settled = false
 	for name, entry := range l.byName {
 		entry.named = false
@@ -42,13 +42,13 @@
 	}
 }
 
-// merge takes a delta.
+// merge applies a delta.
 func (l *memberList) merge(now time.Time, delta []membership.Instance) {
 	for _, i := range delta {
 		entry := l.byName[i.Name]
 		entry.named = true
 		if entry.instance.Incarnation <= i.Incarnation {
-			l.touch(&entry, i)
+			l.markChanged(&entry, i)
 			entry.set(now, i)
 		}
 		l.byName[i.Name] = entry
@@ -56,12 +56,12 @@
 	}
 }
 
-// assume takes in instances that are not known, as somebody knew them before.
-func (l *memberList) assume(now time.Time, instances []membership.Instance) {
+// addUnknown adds remembered instances that are not in the list yet.
+func (l *memberList) addUnknown(now time.Time, instances []membership.Instance) {
 	for _, i := range instances {
 		if _, known := l.byName[i.Name]; !known {
-			var entry listed
-			l.touch(&entry, i)
+			var entry memberEntry
+			l.markChanged(&entry, i)
 			entry.set(now, i)
 			l.byName[i.Name] = entry
 			l.sorted = nil
@@ -69,9 +69,9 @@
 	}
 }
 
-// touch notes that an entry is about to change, unless only in its confirmed revision,
-// which others need not learn.
-func (l *memberList) touch(entry *listed, i membership.Instance) {
+// markChanged records that an entry is about to change, unless only its confirmed revision
+// changes, which others need not learn.
+func (l *memberList) markChanged(entry *memberEntry, i membership.Instance) {
 	old := entry.instance
 	old.Revision = i.Revision
 	if old != i {
@@ -80,7 +80,7 @@
 	}
 }
 
-// changed returns the instances that changed after a revision of the list, by name.
+// changed returns the instances that changed after a revision of the list, sorted by name.
 func (l *memberList) changed(after uint64) []membership.Instance {
 	if after == l.revision {
 		return nil
@@ -95,7 +95,7 @@
 	return found
 }
 
-func (e *listed) set(now time.Time, i membership.Instance) {
+func (e *memberEntry) set(now time.Time, i membership.Instance) {
 	e.instance = i
 	switch {
 	case i.State != membership.Gone:
@@ -105,7 +105,8 @@
 	}
 }
 
-// settle takes in that the present leader knows every instance.
+// settle records that the current leader knows every live instance, and marks those that
+// it has not named as gone.
 func (l *memberList) settle(now time.Time) {
 	if l.settled {
 		return
@@ -115,7 +116,7 @@
 		if !entry.named {
 			gone := entry.instance
 			gone.State = membership.Gone
-			l.touch(&entry, gone)
+			l.markChanged(&entry, gone)
 			entry.set(now, gone)
 			l.byName[name] = entry
 		}
@@ -123,8 +124,8 @@
 	l.sorted = nil
 }
 
-// forget drops the instances that have been gone for long.
-func (l *memberList) forget(now time.Time, kept time.Duration) {
+// expire removes the instances that have been gone for longer than kept.
+func (l *memberList) expire(now time.Time, kept time.Duration) {
 	for name, entry := range l.byName {
 		if !entry.goneSince.IsZero() && now.Sub(entry.goneSince) > kept {
 			delete(l.byName, name)
@@ -133,7 +134,7 @@
 	}
 }
 
-// list returns the instances by name. The slice is shared and never changed.
+// list returns the instances sorted by name. The slice is shared and must not be modified.
 func (l *memberList) list() []membership.Instance {
 	if l.sorted == nil {
 		l.sorted = make([]membership.Instance, 0, len(l.byName))
--- a/control/parse_beside_test.go
+++ b/control/parse_concurrency_test.go
@@ -10,16 +10,16 @@
 	"celeryport/settings"
 )
 
-func TestSettingsAreParsedBesideConsensus(t *testing.T) {
-	// A document of a thousand routes comes to a voter with a small processor. If the
-	// goroutine that answers heartbeats read it, the voter would be silent for longer than
-	// an election timeout, with each change of a series.
+func TestSettingsAreParsedOutsideTheControlGoroutine(t *testing.T) {
+	// A voter with a small processor gets a document of a thousand routes. If the
+	// goroutine that answers heartbeats parsed it, the voter would be unresponsive for
+	// longer than an election timeout with each change of a series.
 	entered, release := make(chan struct{}), make(chan struct{})
 	node, err := New(Options{
 		Process: &settings.Process{Name: "i", Listen: "127.0.0.1:1", ControlListen: "127.0.0.1:2"},
 		Log:     logrus.New(),
 		Parse: func(file string, text []byte) (*settings.Tree, error) {
-			close(entered) // parsed once: a second time panics
+			close(entered) // a second parse would panic
 			<-release
 			return settings.ParseTree(file, text)
 		},
@@ -32,7 +32,7 @@
 	go func() { ended <- node.loop(ctx) }()
 	taken := make(chan error, 1)
 	answer := &searchAnswer{target: "a", request: &syncRequest{}, response: &syncResponse{Epoch: "a/1", Revision: 5, LeaseMs: 1, Text: testTree(5)}}
-	go func() { taken <- node.take(ctx, answer) }()
+	go func() { taken <- node.applyAnswer(ctx, answer) }()
 	<-entered
 	answered, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
--- a/control/race_test.go
+++ b/control/race_test.go
@@ -14,9 +14,9 @@
 	"celeryport/verdict"
 )
 
-// operatorAt sends one order through one node, and again until it knows the
-// outcome, as the command line does.
-func (f *fleet) operatorAt(ctx context.Context, at int, request ApplyRequest) (state.Outcome, error) {
+// applyAt sends an order through one node and repeats it until the outcome is known, as
+// the command line does.
+func (f *fleet) applyAt(ctx context.Context, at int, request ApplyRequest) (state.Outcome, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return state.Outcome{}, err
@@ -38,10 +38,10 @@
 }
 
 func TestRacingOperators(t *testing.T) {
-	// Four operators look at the same revision and change it at once, through
-	// different instances, and send their orders again whenever an answer is lost;
-	// meanwhile the leader is cut off. Of each base exactly one may win, and the
-	// losers must be shown the winner.
+	// Four operators read the same revision and change it at the same time through
+	// different instances, and resend their orders whenever an acknowledgement is lost;
+	// meanwhile the leader is partitioned. For each base revision exactly one order may
+	// win, and the losers must get the winner in their outcome.
 	t.Parallel()
 	const operators, rounds = 4, 6
 	f := newFleet(t, 3, 1)
@@ -56,7 +56,7 @@
 		for operator := range operators {
 			group.Go(func() error {
 				id := fmt.Sprintf("%d-%d", round, operator)
-				outcome, err := f.operatorAt(ctx, operator, ApplyRequest{Base: base, OrderID: id, Text: testTree(10*round + operator)})
+				outcome, err := f.applyAt(ctx, operator, ApplyRequest{Base: base, OrderID: id, Text: testTree(10*round + operator)})
 				if err != nil {
 					return err
 				}
@@ -72,21 +72,21 @@
 		}
 		if round%2 == 1 {
 			leader := f.leader()
-			f.network.cut(leader.process.ControlListen)
-			defer f.network.heal(leader.process.ControlListen)
+			f.network.partition(leader.process.ControlListen)
+			defer f.network.reconnect(leader.process.ControlListen)
 		}
 		if err := group.Wait(); err != nil {
 			t.Fatal(err)
 		}
 		for _, m := range f.members {
-			f.network.heal(m.process.ControlListen)
+			f.network.reconnect(m.process.ControlListen)
 		}
 		if len(won) != 1 || len(winners) != 1 {
-			t.Fatalf("round %d: won %v, shown as winners %v", round, won, winners)
+			t.Fatalf("round %d: won %v, reported as winners %v", round, won, winners)
 		}
 		for id, revision := range won {
 			if !winners[id] {
-				t.Fatalf("round %d: %s won, the losers saw %v", round, id, winners)
+				t.Fatalf("round %d: %s won, but the losers were given %v", round, id, winners)
 			}
 			base = revision
 		}
--- a/control/remembered.go
+++ b/control/remembered.go
@@ -15,23 +15,23 @@
 	"celeryport/upstream"
 )
 
-// rememberedFile holds what an instance knew of the fleet before a restart.
+// rememberedFile holds the fleet as an instance knew it before a restart.
 const rememberedFile = "fleet"
 
-// rememberInterval is how often an instance looks whether the fleet has changed
-// since it wrote the file.
+// rememberInterval is the interval at which an instance checks whether the fleet has
+// changed since it wrote the file.
 const rememberInterval = time.Second
 
-// remembered is who was in the fleet. When all instances are killed at once, the
-// ones with a disk tell it to the others until there is a leader: without it no
-// call could be served for some seconds, although all engines are there.
+// remembered is the last known fleet. When all instances are killed at once, those with a
+// disk send it to the others until there is a leader: without it no request could be
+// served for some seconds, although all engines are running.
 type remembered struct {
 	Instances []membership.Instance   `json:"instances"`
 	Upstreams []upstream.Announcement `json:"upstreams"`
 }
 
-// runRemember writes the file whenever the fleet has changed, beside the control
-// goroutine, which must not wait for one more sync of the disk.
+// runRemember writes the file whenever the fleet has changed. It runs outside the control
+// goroutine, which must not wait for another disk sync.
 func (n *Node) runRemember(ctx context.Context) error {
 	folder := n.core.installed.folder
 	if folder.path == "" {
@@ -42,14 +42,14 @@
 	for clock.Pause(ctx, rememberInterval) {
 		data, err := json.Marshal(rememberedOf(n.View()))
 		if err != nil {
-			return errors.Wrap(err, "encode what is remembered")
+			return errors.Wrap(err, "encode the remembered fleet")
 		}
 		if slices.Equal(data, written) {
 			continue
 		}
 		if err := folder.write(rememberedFile, data); err != nil {
 			if !failed {
-				eventRememberFailed.Log(n.log, event.Fields{"error": err})
+				eventFleetStoreFailed.Log(n.log, event.Fields{"error": err})
 			}
 			failed = true
 			continue
@@ -59,7 +59,7 @@
 	return ctx.Err()
 }
 
-// rememberedOf leaves out what changes all the time.
+// rememberedOf returns the fleet of a view without the fields that change all the time.
 func rememberedOf(v *View) remembered {
 	var r remembered
 	for _, i := range v.Instances {
@@ -78,9 +78,9 @@
 	return r
 }
 
-// recall takes in what was remembered before a restart. Upstreams count as silent
-// until they are heard; a leader that does not hear of an instance drops it.
-func (c *core) recall(now time.Time) error {
+// loadRemembered loads the fleet from before a restart. Upstreams count as silent until
+// they announce themselves; a leader drops instances that do not sync with it.
+func (c *core) loadRemembered(now time.Time) error {
 	folder := c.installed.folder
 	if folder.path == "" {
 		return nil
@@ -94,17 +94,17 @@
 		err = json.Unmarshal(data, &r)
 	}
 	if err != nil {
-		eventRememberFailed.Log(c.log, event.Fields{"error": err})
+		eventFleetStoreFailed.Log(c.log, event.Fields{"error": err})
 		return nil //nolint:nilerr // it only helps for the first seconds; everything is heard again
 	}
-	c.takeRemembered(now, &r)
+	c.addRemembered(now, &r)
 	return nil
 }
 
-func (c *core) takeRemembered(now time.Time, r *remembered) {
+func (c *core) addRemembered(now time.Time, r *remembered) {
 	for _, a := range r.Upstreams {
 		c.known.HearRelayed(now, upstream.Relayed{Announcement: a, Age: c.freshFor() + time.Second})
 	}
-	c.members.assume(now, r.Instances)
+	c.members.addUnknown(now, r.Instances)
 	c.views.dirty()
 }
--- a/control/repair_test.go
+++ b/control/repair_test.go
@@ -21,10 +21,10 @@
 }
 
 func TestRepairDoesOneSafeStepAfterTheOther(t *testing.T) {
-	// A voter loses its disk or is replaced, and the leader repairs the group by
-	// itself. A step in the wrong order, for instance the removal of the dead voter
-	// before its successor has the log, would leave an accepted change on too few
-	// disks when the next machine is lost.
+	// A voter loses its disk or is replaced, and the leader repairs the group
+	// automatically. Steps in the wrong order, for instance the removal of the dead voter
+	// before its successor has the log, would leave an accepted change on too few disks
+	// when the next machine is lost.
 	reborn := consensus.Member{ID: "b2", Address: member("b").Address}
 	tests := []struct {
 		name     string
@@ -34,14 +34,14 @@
 		want     string
 		voting   int
 	}{
-		{"all is well", members("a", "b", "c"), nil, knownVoters{live: members("a", "b", "c"), settled: true}, "", 3},
-		{"one is down and nobody takes its place", members("a", "b", "c"), nil, knownVoters{live: members("a", "b"), settled: true}, "", 3},
+		{"all voters are live", members("a", "b", "c"), nil, knownVoters{live: members("a", "b", "c"), settled: true}, "", 3},
+		{"one is down and has no replacement", members("a", "b", "c"), nil, knownVoters{live: members("a", "b"), settled: true}, "", 3},
 		{"one is replaced", members("a", "b", "c"), nil, knownVoters{live: members("a", "b", "d"), settled: true}, "add a learner", 3},
-		{"the learner follows", members("a", "b", "c"), members("d"), knownVoters{live: members("a", "b", "d"), settled: true}, "promote a learner", 4},
-		{"the dead one leaves last", members("a", "b", "c", "d"), nil, knownVoters{live: members("a", "b", "d"), settled: true}, "remove a dead voter", 3},
-		{"a new leader has not heard of all", members("a", "b", "c", "d"), nil, knownVoters{live: members("a", "b", "d")}, "", 4},
-		{"a lost disk shows at once", members("a", "b", "c", "b2"), nil, knownVoters{live: []consensus.Member{member("a"), member("c"), reborn}}, "remove a dead voter", 3},
-		{"a learner that died leaves", members("a", "b", "c"), members("d"), knownVoters{live: members("a", "b"), settled: true}, "remove a dead learner", 3},
+		{"the learner is promoted", members("a", "b", "c"), members("d"), knownVoters{live: members("a", "b", "d"), settled: true}, "promote a learner", 4},
+		{"the dead voter is removed last", members("a", "b", "c", "d"), nil, knownVoters{live: members("a", "b", "d"), settled: true}, "remove a dead voter", 3},
+		{"a new leader does not know every instance yet", members("a", "b", "c", "d"), nil, knownVoters{live: members("a", "b", "d")}, "", 4},
+		{"a lost disk is detected at once", members("a", "b", "c", "b2"), nil, knownVoters{live: []consensus.Member{member("a"), member("c"), reborn}}, "remove a dead voter", 3},
+		{"a dead learner is removed", members("a", "b", "c"), members("d"), knownVoters{live: members("a", "b"), settled: true}, "remove a dead learner", 3},
 		{"no more than wanted", members("a", "b", "c"), nil, knownVoters{live: members("a", "b", "c", "d"), settled: true}, "", 3},
 	}
 	for _, test := range tests {
@@ -58,10 +58,10 @@
 	}
 }
 
-func TestLostDiskHealsByItself(t *testing.T) {
-	// A voter comes back with an empty disk. Nobody is there to replace it by hand,
-	// and before the next machine is lost it has to be a voter again, under a new
-	// identity and with all that was accepted.
+func TestLostDiskIsRepairedAutomatically(t *testing.T) {
+	// A voter restarts with an empty disk and is not replaced by hand. Before the next
+	// machine is lost it must be a voter again, under a new ID and with everything that
+	// was accepted.
 	f := newHealingFleet(t, 3)
 	f.putDocument(f.members[0], 1, testTree(1))
 	lost := f.members[0]
@@ -75,16 +75,17 @@
 	lost.process.Found = false
 	f.start(lost, nil)
 	for _, m := range f.members {
-		f.await("the healed group known at "+m.process.Name, func() bool { return votersApplied(t, m, before) })
+		f.await("the repaired group is known at "+m.process.Name, func() bool { return votersApplied(t, m, before) })
 	}
 	f.crash(f.leader())
 	if found := f.readAccepted(lost); found.Revision.Version != 2 {
-		t.Errorf("version %d is left after the second loss, 2 was accepted", found.Revision.Version)
+		t.Errorf("version %d after the second loss, but 2 was accepted", found.Revision.Version)
 	}
 }
 
-// votersApplied reports whether a node has applied a change to three voters
-// without the lost one. What the leader has only proposed may be gone with it.
+// votersApplied reports whether a node has applied a change to three voters that do not
+// include the lost one. A change that the leader has only proposed may still be lost with
+// it.
 func votersApplied(t *testing.T, m *testNode, lost consensus.ID) bool {
 	t.Helper()
 	var voters []consensus.ID
--- a/control/run_test.go
+++ b/control/run_test.go
@@ -10,10 +10,10 @@
 	"celeryport/settings"
 )
 
-func TestConsensusGoesBeforeWhatAFleetSends(t *testing.T) {
-	// A fleet starts and hundreds of syncs wait at a voter with a small processor. A
-	// heartbeat of the leader comes behind them. If it waits for all of them, the voter
-	// takes the leader for dead and has a new one elected, and so on.
+func TestConsensusMessagesPrecedeSyncs(t *testing.T) {
+	// A fleet starts and hundreds of syncs are queued at a voter with a small processor,
+	// with a heartbeat of the leader behind them. If the heartbeat waited for all of them,
+	// the voter would consider the leader dead and start an election, repeatedly.
 	node, err := New(Options{
 		Process: &settings.Process{Name: "i", Listen: "127.0.0.1:1", ControlListen: "127.0.0.1:2"},
 		Log:     logrus.New(),
@@ -37,7 +37,7 @@
 		}
 	}
 	_ = node.loop(ctx)
-	if heartbeatAfter == 0 || heartbeatAfter > 10+tasksAtOnce {
-		t.Errorf("the heartbeat came in after %d of %d syncs", heartbeatAfter, syncs)
+	if heartbeatAfter == 0 || heartbeatAfter > 10+tasksPerStep {
+		t.Errorf("the heartbeat was processed after %d of %d syncs", heartbeatAfter, syncs)
 	}
 }
--- a/control/search.go
+++ b/control/search.go
@@ -12,7 +12,7 @@
 	"celeryport/rpc"
 )
 
-// searchAnswer is what one voter said to an instance that knows no leader.
+// searchAnswer is the answer of one voter to an instance that knows no leader.
 type searchAnswer struct {
 	target   string
 	sentAt   time.Time
@@ -21,8 +21,9 @@
 	request  *syncRequest
 }
 
-// fruitless reports whether the answer names no leader and brings nothing.
-func (a *searchAnswer) fruitless(bare bool) bool {
+// isEmpty reports whether the answer is an error, or names no leader and provides no
+// settings.
+func (a *searchAnswer) isEmpty(bare bool) bool {
 	switch {
 	case a.err != nil:
 		return true
@@ -33,8 +34,8 @@
 	}
 }
 
-// askFirst tells which voters are asked at once and which later.
-func (n *Node) askFirst(voters []string, request *syncRequest) (first, rest []string) {
+// initialTargets divides the voters into those to ask at once and those to ask later.
+func (n *Node) initialTargets(voters []string, request *syncRequest) (first, rest []string) {
 	switch {
 	case request.Attach:
 		return voters[:1], voters[1:]
@@ -46,20 +47,20 @@
 	}
 }
 
-// rotated returns a list from a place on that differs with the name.
+// rotated returns the list rotated by an offset derived from the name.
 func rotated(list []string, name string) []string {
 	at := int(xxhash.Sum64String(name) % uint64(len(list)))
 	return append(slices.Clone(list[at:]), list[:at]...)
 }
 
-// search asks all known voters at once, so that the instance finds a new leader as
-// soon as there is one. Asked one after the other, a voter without power costs a
-// whole timeout each time, and the others still name it as the leader: instances
-// then stayed on old settings for three seconds after a new leader was there.
+// search asks all known voters at once, so that the instance finds a new leader as soon as
+// there is one. If voters were asked in sequence, each one without power would cost a
+// whole timeout, while the others still name it as the leader: instances then kept old
+// settings for three seconds after a new leader had been elected.
 //
-// An instance without settings starts with one voter, and asks another one whenever an
-// answer brings nothing or is late. After a restart of the whole fleet all of them ask
-// for all settings, and a voter that every one of them asks is busy for long.
+// An instance without settings starts with one voter and asks another whenever an answer
+// is empty or late. After a restart of the whole fleet all instances request all settings,
+// and answering every instance would keep each voter busy for a long time.
 func (n *Node) search(ctx context.Context, request *syncRequest) error {
 	var addresses []string
 	var defunct bool
@@ -77,24 +78,24 @@
 	}
 	bound, stagger := n.opts.Timing.Search, n.opts.Timing.Stagger
 	if request.Attach {
-		bound *= attachPatience
+		bound *= attachTimeoutFactor
 	}
 	asking, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
-	answers := make(chan searchAnswer, 2*len(addresses)) // room for one redirection each
+	answers := make(chan searchAnswer, 2*len(addresses)) // includes one redirect for each
 	asked := map[string]bool{}
-	var heard atomic.Bool
+	var answered atomic.Bool
 	ask := func(target string) {
 		asked[target] = true
-		go n.searchOne(asking, target, *request, &heard, answers)
+		go n.searchOne(asking, target, *request, &answered, answers)
 	}
-	first, rest := n.askFirst(addresses, request)
+	first, rest := n.initialTargets(addresses, request)
 	for _, address := range first {
 		ask(address)
 	}
 	next := time.NewTimer(stagger)
 	defer next.Stop()
-	var unhelpful *searchAnswer // of the first voter that answered and had nothing to give
+	var emptyAnswer *searchAnswer // of the first voter that answered but had nothing to provide
 	for waiting := len(asked); waiting+len(rest) > 0; {
 		var answer searchAnswer
 		select {
@@ -106,9 +107,9 @@
 			}
 			next.Reset(stagger)
 		}
-		if late := answer.target == ""; late || answer.fruitless(request.Bare) {
-			if unhelpful == nil && !late && answer.err == nil && !answer.response.Redirect {
-				unhelpful = &answer
+		if late := answer.target == ""; late || answer.isEmpty(request.Bare) {
+			if emptyAnswer == nil && !late && answer.err == nil && !answer.response.Redirect {
+				emptyAnswer = &answer
 			}
 			if len(rest) > 0 {
 				ask(rest[0])
@@ -118,40 +119,41 @@
 		}
 		if answer.response.Redirect {
 			given := answer.response.Provisional
-			if err := n.do(ctx, func(now time.Time) { n.core.takeProvisional(now, given) }); err != nil {
+			if err := n.do(ctx, func(now time.Time) { n.core.applyProvisional(now, given) }); err != nil {
 				return err
 			}
-			rest = nil // settings are there, or a leader to ask for them
+			rest = nil // settings have been received, or there is a leader to ask for them
 			if leader := answer.response.Leader; leader != "" && !asked[leader] {
 				ask(leader)
 				waiting++
 			}
 			continue
 		}
-		return n.take(ctx, &answer)
+		return n.applyAnswer(ctx, &answer)
 	}
-	if unhelpful != nil {
-		// No voter has settings yet. Its voter holds the next sync until it does; asked
-		// again and again by a whole fleet that starts, the voters found no time to elect
-		// a leader.
-		return n.take(ctx, unhelpful)
+	if emptyAnswer != nil {
+		// No voter has settings yet. The chosen voter holds the next sync until it has;
+		// repeated searches by a whole starting fleet would leave the voters no time to
+		// elect a leader.
+		return n.applyAnswer(ctx, emptyAnswer)
 	}
 	return errNoVoter
 }
 
-// attachPatience is how much longer an instance that any voter may answer looks for
-// one than an instance that needs the leader. Each voter that it asks besides sends it
-// the whole fleet, so it asks further ones after pauses that double: when a large fleet
-// starts, voters are slow because all instances ask, and asking more makes it worse.
-const attachPatience = 2
+// attachTimeoutFactor is the factor by which an instance that any voter may answer
+// searches longer than one that needs the leader. Each additional voter sends it the whole
+// fleet, so it asks further voters after pauses that double: when a large fleet starts,
+// voters are slow because all instances ask them, and asking more of them increases the
+// load.
+const attachTimeoutFactor = 2
 
-// searchOne asks one voter. An instance without settings, which serves nobody, asks
-// again until some voter was heard: after a loss of power it is there before the
-// voters, and what it sent until then is lost or refused.
-func (n *Node) searchOne(ctx context.Context, target string, request syncRequest, heard *atomic.Bool, answers chan<- searchAnswer) {
+// searchOne asks one voter. An instance without settings, which cannot serve requests,
+// retries until any voter has answered: after a power failure it may be up before the
+// voters, and everything it sent until then is lost or rejected.
+func (n *Node) searchOne(ctx context.Context, target string, request syncRequest, answered *atomic.Bool, answers chan<- searchAnswer) {
 	answer := searchAnswer{target: target, request: &request}
 	request.WaitMs = 0
-	for bound := n.opts.Timing.Look; ; bound *= 2 {
+	for bound := n.opts.Timing.Probe; ; bound *= 2 {
 		answer.sentAt = n.clock.Now()
 		asking := ctx
 		if request.Bare {
@@ -159,24 +161,25 @@
 		}
 		answer.response, answer.err = n.callSync(asking, target, &request)
 		if answer.err == nil {
-			heard.Store(true)
+			answered.Store(true)
 		}
-		if answer.err == nil || !request.Bare || heard.Load() || !clock.Pause(ctx, n.opts.Timing.Look) {
+		if answer.err == nil || !request.Bare || answered.Load() || !clock.Pause(ctx, n.opts.Timing.Probe) {
 			break
 		}
 	}
 	answers <- answer
 }
 
-// take gives an answer to the control goroutine. Settings in it are parsed here first,
-// which keeps them for the install: a document of a thousand routes takes a small
-// processor longer than an election may, and consensus would wait for it there.
-func (n *Node) take(ctx context.Context, a *searchAnswer) error {
+// applyAnswer passes an answer to the control goroutine. Settings in it are parsed here
+// first, and the parse result is cached for the installation: parsing a document of a
+// thousand routes on a small processor takes longer than an election timeout, and would
+// delay consensus on the control goroutine.
+func (n *Node) applyAnswer(ctx context.Context, a *searchAnswer) error {
 	if len(a.response.Text) > 0 {
-		_, _ = n.parsed.parse("accepted settings", a.response.Text) // the install meets the same error, and logs it
+		_, _ = n.parsed.parse("accepted settings", a.response.Text) // the installation meets the same error, and logs it
 	}
 	var taken error
-	err := n.do(ctx, func(now time.Time) { taken = n.core.takeSync(now, a) })
+	err := n.do(ctx, func(now time.Time) { taken = n.core.applySync(now, a) })
 	if err != nil {
 		return err
 	}
