--- a/consensus/bench_test.go
+++ b/consensus/bench_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// BenchmarkCommit measures what the nodes of a group compute for one change of
-// 200 bytes, from the proposal until every node has applied it, without disks
-// and network.
+// BenchmarkCommit measures the computation of all nodes in a group for one change
+// of 200 bytes, from the proposal until every node has applied it. Disks and the
+// network are not included.
 func BenchmarkCommit(b *testing.B) {
 	for _, size := range []int{3, 5} {
 		b.Run(fmt.Sprintf("voters=%d", size), func(b *testing.B) { benchmarkCommit(b, size) })
@@ -26,16 +26,16 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		n.Tick(trueStart)
+		n.Tick(startTime)
 		nodes[m.ID] = n
 	}
 	leader := nodes["v0"]
-	leader.campaign(trueStart, ballotForced)
+	leader.campaign(startTime, ballotForced)
 	exchange(b, nodes)
 	data, messages := make([]byte, 200), 0
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, _, err := leader.Propose(trueStart, data); err != nil {
+		if _, _, err := leader.Propose(startTime, data); err != nil {
 			b.Fatal(err)
 		}
 		messages += exchange(b, nodes)
@@ -46,7 +46,8 @@
 	b.ReportMetric(float64(messages)/float64(b.N), "messages/op")
 }
 
-// exchange delivers until nobody has anything to do, and counts the messages.
+// exchange delivers messages until no node has work left, and returns the number
+// of messages.
 func exchange(b *testing.B, nodes map[ID]*Node) int {
 	count := 0
 	for busy := true; busy; {
@@ -59,7 +60,7 @@
 			batch := n.Ready()
 			for _, m := range batch.Messages {
 				count++
-				if err := nodes[m.To].Step(trueStart, m); err != nil {
+				if err := nodes[m.To].Step(startTime, m); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/consensus/codec.go
+++ b/consensus/codec.go
@@ -6,16 +6,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEntriesPerMessage bounds what a message may make its receiver hold.
+// maxEntriesPerMessage limits the number of entries that a receiver accepts in
+// one message.
 const maxEntriesPerMessage = 1 << 16
 
-// EncodeMessage returns the wire form of a message.
+// EncodeMessage returns the wire encoding of a message.
 func EncodeMessage(m *Message) ([]byte, error) {
 	return json.Marshal(m)
 }
 
-// DecodeMessage reads the wire form of a message and refuses one that no node
-// sends, so that Step sees only well-formed ones.
+// DecodeMessage decodes and validates a message. It rejects messages that no
+// node sends, so that Step sees only well-formed ones.
 func DecodeMessage(data []byte) (Message, error) {
 	var m Message
 	if err := json.Unmarshal(data, &m); err != nil {
--- a/consensus/compaction.go
+++ b/consensus/compaction.go
@@ -1,8 +1,8 @@
 package consensus
 
-// SnapshotAt completes a snapshot of the applied state at an index with the
-// term and the configuration of the log there. The driver syncs it and then
-// calls Compact.
+// SnapshotAt returns a snapshot of the applied state at an index, with the term
+// and the configuration that the log has at that index. The driver syncs the
+// snapshot and then calls Compact.
 func (n *Node) SnapshotAt(index uint64, data []byte) (Snapshot, error) {
 	term, ok := n.log.termAt(index)
 	if !ok || index > n.log.applied || index < n.snapshot.Index {
@@ -11,11 +11,13 @@
 	return Snapshot{Index: index, Term: term, Configuration: n.configs.at(index), Data: data}, nil
 }
 
-// maxTrailingBytes bounds the entries that are kept behind a snapshot.
+// maxTrailingBytes limits the size of the log entries kept in memory that a
+// snapshot already covers.
 const maxTrailingBytes = 4 << 20
 
-// Compact drops entries that a synced snapshot covers, but for Trailing ones, or
-// fewer if they are large. Members that need older entries get the snapshot.
+// Compact drops log entries covered by a synced snapshot. It keeps the last
+// Trailing entries, or fewer if they exceed maxTrailingBytes. Members that need
+// older entries are sent the snapshot.
 func (n *Node) Compact(s Snapshot) error {
 	if s.Index > n.log.applied || !n.log.matches(position{s.Index, s.Term}) {
 		return refuse(RefusedInconsistent)
@@ -27,7 +29,8 @@
 	return nil
 }
 
-// trailingFrom returns the index behind which entries are kept.
+// trailingFrom returns the index up to which a snapshot at the given index lets
+// the log be compacted. The entries after it are kept.
 func (n *Node) trailingFrom(index uint64) uint64 {
 	bytes := 0
 	for kept := uint64(0); kept < n.trailing && index > n.log.base.index; kept++ {
--- a/consensus/config.go
+++ b/consensus/config.go
@@ -7,27 +7,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config sets up a Node.
+// Config configures a Node.
 type Config struct {
 	ID     ID
 	Timing Timing
-	// Initial is the first configuration of a new group. It is used only when
-	// the storage is empty and names ID as a voter; every voter that bootstraps
-	// must be given the same one. A node with empty storage and without it knows
-	// no configuration: it never campaigns, and waits for a leader to reach it.
+	// Initial is the first configuration of a new group. It is used only when the
+	// storage is empty and Initial lists ID as a voter. All voters that bootstrap
+	// the group must be given the same value. A node with empty storage and no
+	// Initial has no configuration: it never campaigns, and waits until a leader
+	// contacts it.
 	Initial Configuration
-	// Rand draws the election timeouts.
+	// Rand is the source of randomness for election timeouts.
 	Rand *rand.Rand
-	// Trailing is the number of entries kept in memory behind a snapshot, so
-	// that a follower which is a little late needs no snapshot.
+	// Trailing is the number of entries kept in memory after a snapshot covers
+	// them, so that a slightly slow follower does not need the snapshot.
 	Trailing uint64
 }
 
-// leaseShare is the largest part of ElectionMin that a lease may take. The rest
+// maxLeaseFraction is the maximum ratio of Lease to ElectionMin. The remainder
 // is the margin for clocks that run at different rates.
-const leaseShare = 0.9
+const maxLeaseFraction = 0.9
 
-// DefaultTiming suits voters a few milliseconds apart.
+// DefaultTiming returns intervals suited to voters with a few milliseconds of
+// network latency between them.
 func DefaultTiming() Timing {
 	return Timing{
 		Heartbeat:   100 * time.Millisecond,
@@ -36,7 +38,7 @@
 	}
 }
 
-// check reports the first fault of the configuration.
+// check returns an error for the first invalid field.
 func (c *Config) check() error {
 	t := c.Timing
 	switch {
@@ -47,9 +49,9 @@
 	case t.Heartbeat <= 0 || 2*t.Heartbeat > t.ElectionMin:
 		return errors.Newf("heartbeat %v must be positive and at most half of the election minimum %v",
 			t.Heartbeat, t.ElectionMin)
-	case t.Lease <= 0 || float64(t.Lease) > leaseShare*float64(t.ElectionMin):
+	case t.Lease <= 0 || float64(t.Lease) > maxLeaseFraction*float64(t.ElectionMin):
 		return errors.Newf("lease %v must be positive and at most %v of the election minimum %v",
-			t.Lease, leaseShare, t.ElectionMin)
+			t.Lease, maxLeaseFraction, t.ElectionMin)
 	}
 	return c.Initial.check()
 }
--- a/consensus/confighistory.go
+++ b/consensus/confighistory.go
@@ -1,10 +1,10 @@
 package consensus
 
-// configHistory holds the configurations of the log. The newest is in force as
-// soon as its entry is in the log, committed or not; when the entry is replaced
-// by another leader, the one before is in force again.
+// configHistory holds the configurations of the log. The newest takes effect as
+// soon as its entry is in the log, whether or not it is committed. If another
+// leader replaces the entry, the previous configuration takes effect again.
 type configHistory struct {
-	base    Configuration // of the snapshot, or none
+	base    Configuration // of the snapshot; zero if there is none
 	changes []configChange
 }
 
@@ -21,7 +21,8 @@
 	return &h.changes[len(h.changes)-1].config
 }
 
-// lastIndex returns the index of the newest change, zero when the log has none.
+// lastIndex returns the index of the newest configuration change, or zero if the
+// log has none.
 func (h *configHistory) lastIndex() uint64 {
 	if len(h.changes) == 0 {
 		return 0
@@ -31,17 +32,17 @@
 
 // at returns the configuration in force at a log index.
 func (h *configHistory) at(index uint64) Configuration {
-	found := h.base
+	latest := h.base
 	for _, c := range h.changes {
 		if c.index > index {
 			break
 		}
-		found = c.config
+		latest = c.config
 	}
-	return found
+	return latest
 }
 
-// record notes the changes among new entries of the log.
+// record adds the configuration changes found in new log entries.
 func (h *configHistory) record(entries []Entry) error {
 	for _, e := range entries {
 		if e.Kind != Reconfiguration {
@@ -56,14 +57,14 @@
 	return nil
 }
 
-// truncate forgets the changes from an index on.
+// truncate removes the changes at and after an index.
 func (h *configHistory) truncate(from uint64) {
 	for len(h.changes) > 0 && h.lastIndex() >= from {
 		h.changes = h.changes[:len(h.changes)-1]
 	}
 }
 
-// compact folds the changes up to an index into the base.
+// compact merges the changes up to an index into the base configuration.
 func (h *configHistory) compact(index uint64) {
 	h.base = h.at(index)
 	for len(h.changes) > 0 && h.changes[0].index <= index {
@@ -71,7 +72,7 @@
 	}
 }
 
-// reset starts again from the configuration of a snapshot.
+// reset discards all changes and uses the configuration of a snapshot.
 func (h *configHistory) reset(base Configuration) {
 	*h = configHistory{base: base}
 }
--- a/consensus/configuration.go
+++ b/consensus/configuration.go
@@ -7,21 +7,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Voter reports whether id votes in the configuration.
+// Voter reports whether id is a voter in the configuration.
 func (c Configuration) Voter(id ID) bool { return hasMember(c.Voters, id) }
 
 // Learner reports whether id is a learner in the configuration.
 func (c Configuration) Learner(id ID) bool { return hasMember(c.Learners, id) }
 
-// Majority returns the number of voters that make a majority.
+// Majority returns the number of voters needed for a majority.
 func (c Configuration) Majority() int { return len(c.Voters)/2 + 1 }
 
-// Members returns the voters and then the learners.
+// Members returns the voters followed by the learners.
 func (c Configuration) Members() []Member {
 	return append(slices.Clone(c.Voters), c.Learners...)
 }
 
-// check refuses a configuration that names a member twice or not at all.
+// check rejects a configuration with an empty or duplicate member ID.
 func (c Configuration) check() error {
 	seen := make(map[ID]bool)
 	for _, m := range c.Members() {
@@ -36,16 +36,16 @@
 	return nil
 }
 
-// encode returns the data of a Reconfiguration entry.
+// encode returns the configuration as the data of a Reconfiguration entry.
 func (c Configuration) encode() []byte {
 	data, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // strings only: cannot fail
+		panic(err) // unreachable: the configuration contains only strings
 	}
 	return data
 }
 
-// DecodeConfiguration reads the data of a Reconfiguration entry.
+// DecodeConfiguration decodes and validates the data of a Reconfiguration entry.
 func DecodeConfiguration(data []byte) (Configuration, error) {
 	var c Configuration
 	if err := json.Unmarshal(data, &c); err != nil {
@@ -58,8 +58,8 @@
 	return slices.ContainsFunc(members, func(m Member) bool { return m.ID == id })
 }
 
-// missingFrom returns the members of a whose IDs are not in b.
-func missingFrom(a, b []Member) []ID {
+// membersNotIn returns the members of a whose IDs are not in b.
+func membersNotIn(a, b []Member) []ID {
 	var missing []ID
 	for _, m := range a {
 		if !hasMember(b, m.ID) {
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -5,16 +5,17 @@
 type ballotKind uint8
 
 const (
-	// ballotPreVote asks whether an election could succeed, without a new term.
-	// Without it, a voter that was cut off for an hour would come back with a
-	// high term and depose a leader that works.
+	// ballotPreVote asks whether an election could succeed, without starting a
+	// new term. Without the pre-vote, a voter that was partitioned for an hour
+	// would return with a high term and depose a working leader.
 	ballotPreVote ballotKind = iota + 1
 	ballotVote
-	// ballotForced is asked for by the leader, which has given up its lease.
+	// ballotForced is started on request of the leader, which has released its
+	// lease.
 	ballotForced
 )
 
-// ballot counts the answers to a running (pre-)vote.
+// ballot holds the responses to a pre-vote or vote in progress.
 type ballot struct {
 	kind     ballotKind
 	granted  map[ID]bool
@@ -39,10 +40,10 @@
 			n.send(request)
 		}
 	}
-	n.countBallot(now)
+	n.tallyBallot(now)
 }
 
-func (n *Node) countBallot(now time.Time) {
+func (n *Node) tallyBallot(now time.Time) {
 	config := n.configs.current()
 	granted, rejected := 0, 0
 	for _, m := range config.Voters {
@@ -63,8 +64,8 @@
 	}
 }
 
-// becomeFollower leaves whatever role the node has. An older term's leader is
-// forgotten with its term.
+// becomeFollower ends the node's present role. A higher term also replaces the
+// leader and the vote known for the old term.
 func (n *Node) becomeFollower(now time.Time, term uint64, leader ID) {
 	if n.role == Leader {
 		n.leaveLeadership(now)
@@ -78,21 +79,21 @@
 }
 
 func (n *Node) handlePreVote(now time.Time, m Message) {
-	granted := m.Term > n.term && n.mayVote(now, m)
-	answer := Message{Kind: PreVoteResponse, To: m.From, Term: n.term, Reject: !granted}
+	granted := m.Term > n.term && n.canGrantVote(now, m)
+	response := Message{Kind: PreVoteResponse, To: m.From, Term: n.term, Reject: !granted}
 	if granted {
-		answer.Term = m.Term
+		response.Term = m.Term
 	}
-	n.send(answer)
+	n.send(response)
 }
 
-// handleVote answers a request of this node's own term; Step has brought the
-// term up before.
+// handleVote responds to a vote request for the node's current term. Step has
+// already updated the term.
 func (n *Node) handleVote(now time.Time, m Message) {
-	free := n.vote == "" || n.vote == m.From
-	granted := free && n.leader == "" && n.mayVote(now, m)
+	available := n.vote == "" || n.vote == m.From
+	granted := available && n.leader == "" && n.canGrantVote(now, m)
 	if n.vote == m.From {
-		granted = true // a doubled request: the answer may have been lost
+		granted = true // duplicate request: the first response may have been lost
 	}
 	if granted && n.vote == "" {
 		n.vote = m.From
@@ -101,35 +102,35 @@
 	n.send(Message{Kind: VoteResponse, To: m.From, Reject: !granted})
 }
 
-// mayVote reports whether a candidate's log is new enough and no leader can
-// hold a lease that rests on this node.
-func (n *Node) mayVote(now time.Time, m Message) bool {
+// canGrantVote reports whether the candidate's log is at least as up to date as
+// this node's, and no leader can hold a lease that depends on this node.
+func (n *Node) canGrantVote(now time.Time, m Message) bool {
 	if !m.Force && n.leaseGuard(now) {
 		return false
 	}
 	return position{m.Index, m.LogTerm}.atLeast(n.log.last())
 }
 
-// leaseGuard reports whether this node must stay out of elections. A leader's
-// lease counts on it: each voter that confirmed a heartbeat refuses every other
-// candidate for ElectionMin, which is longer than the lease.
+// leaseGuard reports whether this node must not take part in elections. A
+// leader's lease depends on it: each voter that confirmed a heartbeat rejects
+// all other candidates for ElectionMin, which is longer than the lease.
 func (n *Node) leaseGuard(now time.Time) bool {
 	return n.role == Leader || now.Before(n.refuseUntil)
 }
 
-func (n *Node) handleBallotAnswer(now time.Time, m Message) {
+func (n *Node) handleVoteResponse(now time.Time, m Message) {
 	if n.role != Candidate || !n.ballot.expects(m.Kind) {
 		return
 	}
 	if m.Kind == PreVoteResponse && !m.Reject && m.Term != n.term+1 {
-		return // of an earlier pre-vote
+		return // response to an earlier pre-vote
 	}
 	if m.Reject {
 		n.ballot.rejected[m.From] = true
 	} else {
 		n.ballot.granted[m.From] = true
 	}
-	n.countBallot(now)
+	n.tallyBallot(now)
 }
 
 func (b *ballot) expects(kind MessageKind) bool {
--- a/consensus/entrylog.go
+++ b/consensus/entrylog.go
@@ -6,14 +6,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// position names an entry. Two logs that hold the same position hold the same
-// entries up to it.
+// position identifies an entry. Two logs that contain the same position have
+// identical entries up to it.
 type position struct {
 	index, term uint64
 }
 
-// atLeast reports whether a log that ends here is at least as new as one that
-// ends at other.
+// atLeast reports whether a log that ends at p is at least as up to date as one
+// that ends at other.
 func (p position) atLeast(other position) bool {
 	if p.term != other.term {
 		return p.term > other.term
@@ -21,13 +21,14 @@
 	return p.index >= other.index
 }
 
-// entryLog is the log in memory: what is synced, and the tail that is not yet.
+// entryLog is the in-memory log. It contains synced entries and an unsynced
+// tail.
 type entryLog struct {
-	base    position // of the entry before entries[0]
+	base    position // position of the entry before entries[0]
 	entries []Entry
-	stable  uint64 // last synced index
+	stable  uint64 // index of the last synced entry
 	commit  uint64
-	applied uint64 // last index handed out as committed and advanced over
+	applied uint64 // last index returned by Ready as committed and confirmed by Advance
 }
 
 func (l *entryLog) last() position {
@@ -38,7 +39,8 @@
 	return position{e.Index, e.Term}
 }
 
-// termAt returns the term of the entry at an index, if the log still has it.
+// termAt returns the term of the entry at an index, and false if the log does
+// not contain it.
 func (l *entryLog) termAt(index uint64) (uint64, bool) {
 	if index == l.base.index {
 		return l.base.term, true
@@ -54,7 +56,8 @@
 	return ok && term == p.term
 }
 
-// from returns entries from an index on, up to about maxBytes but at least one.
+// from returns entries starting at an index, limited to maxBytes of data but
+// always including at least one entry.
 func (l *entryLog) from(index uint64, maxBytes int) []Entry {
 	if index <= l.base.index || index > l.last().index {
 		return nil
@@ -70,7 +73,7 @@
 	return slices.Clone(tail)
 }
 
-// between returns the entries after one index up to another.
+// between returns the entries after one index, up to and including another.
 func (l *entryLog) between(after, to uint64) []Entry {
 	if to <= after {
 		return nil
@@ -82,9 +85,9 @@
 	l.entries = append(l.entries, entries...)
 }
 
-// merge adds the entries of a leader behind a position that matches. Entries
-// that are there already stay; from the first that differs on they are
-// replaced. It returns the entries that are new.
+// merge appends a leader's entries that follow a matching position. Entries that
+// are already present are kept; from the first difference on, the leader's
+// entries replace the existing ones. It returns the entries that were added.
 func (l *entryLog) merge(entries []Entry) ([]Entry, error) {
 	for i, e := range entries {
 		if l.matches(position{e.Index, e.Term}) {
@@ -100,17 +103,17 @@
 	return nil, nil
 }
 
-// truncate drops the entries from an index on.
+// truncate removes the entries at and after an index.
 func (l *entryLog) truncate(from uint64) {
 	if from > l.last().index {
 		return
 	}
-	// A copy, because slices handed out in batches share the backing array.
+	// Clone, because slices returned in batches share the backing array.
 	l.entries = slices.Clone(l.entries[:from-l.base.index-1])
 	l.stable = min(l.stable, from-1)
 }
 
-// compact drops the entries up to an index from memory.
+// compact removes the entries up to and including an index from memory.
 func (l *entryLog) compact(index uint64) {
 	if index <= l.base.index {
 		return
@@ -120,25 +123,25 @@
 	l.base = position{index, term}
 }
 
-// reset replaces the whole log by a snapshot at p.
+// reset replaces the whole log with a snapshot at p.
 func (l *entryLog) reset(p position) {
 	*l = entryLog{base: p, stable: p.index, commit: p.index, applied: p.index}
 }
 
-// conflictHint returns where a leader should continue after p did not match:
-// the last index that may still be equal.
+// conflictHint returns the index from which a leader should continue after p did
+// not match: the last index at which the logs may still be identical.
 func (l *entryLog) conflictHint(p position) uint64 {
 	if p.index > l.last().index {
 		return l.last().index
 	}
-	wrong, ok := l.termAt(p.index)
+	conflictingTerm, ok := l.termAt(p.index)
 	if !ok {
 		return l.commit
 	}
 	index := p.index
 	for index > l.commit {
 		term, ok := l.termAt(index)
-		if !ok || term != wrong {
+		if !ok || term != conflictingTerm {
 			break
 		}
 		index--
--- a/consensus/errors.go
+++ b/consensus/errors.go
@@ -7,9 +7,10 @@
 	"celeryport/verdict"
 )
 
-// NotLeaderError refuses a call that only the leader serves. Nothing was done.
+// NotLeaderError rejects a call that only the leader serves. The call had no
+// effect.
 type NotLeaderError struct {
-	Leader ID // as far as this node knows; empty when unknown
+	Leader ID // leader known to this node; empty if unknown
 }
 
 // Error implements error.
@@ -20,20 +21,20 @@
 	return fmt.Sprintf("not the leader; the leader is %s", e.Leader)
 }
 
-// Unwrap gives the verdict: not run.
+// Unwrap returns a verdict that reports the call as not run.
 func (e *NotLeaderError) Unwrap() error {
 	return verdict.Refuse(verdict.ReasonNotLeader, 0, "%s", e.Error())
 }
 
-// RefusedError refuses a call on the leader. Nothing was done.
+// RefusedError is the leader's rejection of a call. The call had no effect.
 type RefusedError struct {
 	Cause Refusal
 }
 
-// Refusal is the cause of a RefusedError.
+// Refusal is the reason for a RefusedError.
 type Refusal string
 
-// The causes for which a leader refuses.
+// The reasons for which a leader rejects a call.
 const (
 	RefusedTooLarge     Refusal = "the proposal is larger than an entry may be"
 	RefusedBusy         Refusal = "too many entries wait to be committed"
@@ -54,17 +55,18 @@
 // Error implements error.
 func (e *RefusedError) Error() string { return string(e.Cause) }
 
-// Unwrap gives the verdict: not run.
+// Unwrap returns a verdict that reports the call as not run.
 func (e *RefusedError) Unwrap() error {
 	reason, after := e.Cause.reason()
 	return verdict.Refuse(reason, after, "%s", e.Error())
 }
 
-// refusedRetry is when to ask again after a refusal that passes by itself.
+// refusedRetry is the retry delay returned with rejections that are temporary.
 const refusedRetry = time.Second
 
-// reason tells what passes by itself from what the caller must change. None is a
-// conflict: that would say that another operator won.
+// reason maps a refusal to a verdict reason and a retry delay, which is zero if
+// the caller must change the call. No refusal maps to a conflict, because that
+// would mean that another operator's change took precedence.
 func (r Refusal) reason() (verdict.Reason, time.Duration) {
 	switch r {
 	case RefusedTooLarge:
--- a/consensus/follower.go
+++ b/consensus/follower.go
@@ -6,8 +6,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// heardLeader notes a sign of life of the leader of this term.
-func (n *Node) heardLeader(now time.Time, leader ID) error {
+// recordLeaderContact records a message from the leader of the current term and
+// restarts the timers that depend on it.
+func (n *Node) recordLeaderContact(now time.Time, leader ID) error {
 	if n.role == Leader {
 		return errors.Newf("two leaders in term %d: %s and %s", n.term, n.id, leader)
 	}
@@ -18,34 +19,34 @@
 }
 
 func (n *Node) handleAppend(now time.Time, m Message) error {
-	if err := n.heardLeader(now, m.From); err != nil {
+	if err := n.recordLeaderContact(now, m.From); err != nil {
 		return err
 	}
-	answer := Message{Kind: AppendResponse, To: m.From, Round: m.Round}
+	response := Message{Kind: AppendResponse, To: m.From, Round: m.Round}
 	switch {
 	case n.received != nil:
-		// Entries behind a snapshot that is not installed yet could be synced
-		// before it. The leader sends them again.
-		answer.Reject, answer.Index, answer.Hint = true, m.Index, n.log.commit
+		// Entries that follow a snapshot must not be synced before the
+		// snapshot is installed. The leader sends them again.
+		response.Reject, response.Index, response.Hint = true, m.Index, n.log.commit
 	case m.Index < n.log.commit:
-		// The committed prefix is equal on both sides.
-		answer.Index = n.log.commit
+		// Both logs have the same committed prefix.
+		response.Index = n.log.commit
 	case !n.log.matches(position{m.Index, m.LogTerm}):
-		answer.Reject, answer.Index = true, m.Index
-		answer.Hint = n.log.conflictHint(position{m.Index, m.LogTerm})
+		response.Reject, response.Index = true, m.Index
+		response.Hint = n.log.conflictHint(position{m.Index, m.LogTerm})
 	default:
 		last, err := n.accept(m)
 		if err != nil {
 			return err
 		}
-		answer.Index = last
+		response.Index = last
 	}
-	n.send(answer)
+	n.send(response)
 	return nil
 }
 
-// accept merges the entries of a message that matches, and returns the last
-// index that is now known to equal the leader's log.
+// accept merges the entries of a matching message into the log. It returns the
+// last index at which the log is known to match the leader's log.
 func (n *Node) accept(m Message) (uint64, error) {
 	if err := checkContiguous(m.Index, m.Entries); err != nil {
 		return 0, err
@@ -66,7 +67,7 @@
 }
 
 func (n *Node) handleSnapshot(now time.Time, m Message) error {
-	if err := n.heardLeader(now, m.From); err != nil {
+	if err := n.recordLeaderContact(now, m.From); err != nil {
 		return err
 	}
 	if m.Snapshot == nil || n.received != nil {
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// install replaces the log by a snapshot. The answer leaves only after the
-// driver has synced it.
+// install replaces the log with a snapshot. The response is sent only after the
+// driver has synced the snapshot.
 func (n *Node) install(s Snapshot) {
 	n.received = &s
 	n.snapshot = s
--- a/consensus/fuzz_test.go
+++ b/consensus/fuzz_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// FuzzDecodeMessage feeds a follower and a leader whatever the decoder lets
-// through. A hostile message may make a node stop with an error, but it may not
-// panic, move a commit back, or replace what is committed.
+// FuzzDecodeMessage passes every message that the decoder accepts to a follower
+// and to a leader. A malicious message may make a node stop with an error, but
+// must not cause a panic, decrease the commit index or replace committed entries.
 func FuzzDecodeMessage(f *testing.F) {
 	for _, m := range []Message{
 		{Kind: PreVoteRequest, From: "v2", To: "v1", Term: 9, Index: 3, LogTerm: 2},
@@ -41,15 +41,15 @@
 		if lead {
 			s.node.campaign(s.clock(w.now), ballotVote)
 			s.node.ballot.granted["v2"] = true
-			s.node.countBallot(s.clock(w.now))
+			s.node.tallyBallot(s.clock(w.now))
 		}
-		w.pump(s)
+		w.processReady(s)
 		before := s.node.Status().Commit
 		for range 2 {
 			if s.node.Step(s.clock(w.now), m) != nil {
 				return
 			}
-			w.pump(s)
+			w.processReady(s)
 		}
 		s.node.Tick(s.clock(w.now.Add(time.Minute)))
 		if after := s.node.Status().Commit; after < before {
--- a/consensus/group_test.go
+++ b/consensus/group_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// leader returns the running leader of the highest term, or nil.
+// leader returns the running leader with the highest term, or nil.
 func (w *network) leader() *server {
 	var found *server
 	for _, s := range w.servers {
@@ -20,10 +20,10 @@
 	return found
 }
 
-// electLeader waits for a leader that committed an entry of its term.
+// electLeader waits for a leader that has committed an entry of its term.
 func (w *network) electLeader() *server {
 	w.t.Helper()
-	w.until(20*time.Second, "a leader", func() bool {
+	w.waitFor(20*time.Second, "a leader", func() bool {
 		l := w.leader()
 		return l != nil && l.node.HasLease(l.clock(w.now))
 	})
@@ -35,11 +35,11 @@
 		return false
 	}
 	_, _, err := s.node.Propose(s.clock(w.now), []byte(data))
-	w.pump(s)
+	w.processReady(s)
 	return err == nil
 }
 
-// commit proposes changes at the leader until it applied all of them.
+// commit proposes changes to the leader and waits until it has applied them.
 func (w *network) commit(count int) {
 	w.t.Helper()
 	leader := w.electLeader()
@@ -52,13 +52,13 @@
 		}
 	}
 	last := leader.node.Status().Last
-	w.until(5*time.Second, "a commit", func() bool { return leader.at >= last })
+	w.waitFor(5*time.Second, "a commit", func() bool { return leader.appliedIndex >= last })
 }
 
-// compact takes a snapshot on a server as the driver does.
+// compact takes a snapshot on a server and compacts its log, as the driver does.
 func (w *network) compact(s *server) {
 	data, _ := json.Marshal(s.applied)
-	snap, err := s.node.SnapshotAt(s.at, data)
+	snap, err := s.node.SnapshotAt(s.appliedIndex, data)
 	if err != nil {
 		return
 	}
@@ -69,30 +69,31 @@
 	}
 }
 
-// agree heals everything and waits until all members in the configuration have
-// applied the same.
-func (w *network) agree() {
+// waitForConvergence removes all network faults and waits until all running
+// members have applied the same entries.
+func (w *network) waitForConvergence() {
 	w.t.Helper()
-	w.cut, w.loss, w.doubles = nil, 0, 0
+	w.cut, w.loss, w.duplication = nil, 0, 0
 	leader := w.electLeader()
 	before := len(w.committed)
 	w.commit(1)
 	config := leader.node.Status().Configuration
-	w.until(60*time.Second, "all agree", func() bool {
+	w.waitFor(60*time.Second, "all members have applied the committed log", func() bool {
 		for _, m := range config.Members() {
-			if s := w.server(m.ID); s.running() && s.at < uint64(len(w.committed)) {
+			if s := w.server(m.ID); s.running() && s.appliedIndex < uint64(len(w.committed)) {
 				return false
 			}
 		}
 		return true
 	})
 	if len(w.committed) <= before {
-		w.t.Fatalf("nothing was committed after the network healed")
+		w.t.Fatalf("nothing was committed after the network faults were removed")
 	}
 	w.checkHistory(config)
 }
 
-// checkHistory compares what each member applied with the committed log.
+// checkHistory compares the entries applied by each member with the committed
+// log.
 func (w *network) checkHistory(config Configuration) {
 	w.t.Helper()
 	var want []string
@@ -113,6 +114,6 @@
 	for _, size := range []int{1, 3, 5} {
 		w := newNetwork(t, uint64(size), size)
 		w.commit(100)
-		w.agree()
+		w.waitForConvergence()
 	}
 }
--- a/consensus/leader.go
+++ b/consensus/leader.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// leadership is the state of a leader in its term.
-type leadership struct {
-	peers       []peer // voters and learners but for the leader, in the order of the configuration
+// leaderState is the state that a leader keeps for its term.
+type leaderState struct {
+	peers       []peer // all voters and learners except the leader, in configuration order
 	heartbeatAt time.Time
 	rounds      rounds
 	lease       lease
 	termStart   uint64 // index of the Empty entry of this term
-	uncommitted int    // bytes of this term's proposals that are not committed
+	uncommitted int    // size in bytes of this term's uncommitted proposals
 	reads       []pendingRead
 	transfer    transfer
 }
 
-// peer is another member as the leader follows it.
+// peer is another member and its replication progress.
 type peer struct {
 	id    ID
 	voter bool
 	progress
 }
 
-func (l *leadership) peer(id ID) *peer {
+func (l *leaderState) peer(id ID) *peer {
 	for i := range l.peers {
 		if l.peers[i].id == id {
 			return &l.peers[i]
@@ -30,7 +30,7 @@
 	return nil
 }
 
-func (l *leadership) nextTick(t Timing) time.Time {
+func (l *leaderState) nextTick(t Timing) time.Time {
 	next := l.heartbeatAt
 	if deadline := l.rounds.confirmedAt.Add(t.ElectionMin); deadline.Before(next) {
 		next = deadline
@@ -42,25 +42,25 @@
 	n.role = Leader
 	n.leader = n.id
 	n.ballot = ballot{}
-	n.lead = leadership{termStart: n.log.last().index + 1}
-	n.lead.rounds.confirmedAt = now
-	n.followPeers()
+	n.leadership = leaderState{termStart: n.log.last().index + 1}
+	n.leadership.rounds.confirmedAt = now
+	n.updatePeers()
 	n.appendOwn(Entry{Kind: Empty})
 	n.heartbeat(now)
 }
 
-// leaveLeadership ends the leader's role. Whoever was told of the lease may
-// rely on it to its end, so this node stays out of elections until then.
+// leaveLeadership ends the leader role. Callers may rely on a published lease
+// until it expires, so this node takes part in no election until then.
 func (n *Node) leaveLeadership(now time.Time) {
-	if n.refuseUntil.Before(n.lead.lease.until) {
-		n.refuseUntil = n.lead.lease.until
+	if n.refuseUntil.Before(n.leadership.lease.until) {
+		n.refuseUntil = n.leadership.lease.until
 	}
-	n.lead = leadership{}
+	n.leadership = leaderState{}
 	n.resetElection(now)
 }
 
-// followPeers brings the followed peers in line with the configuration.
-func (n *Node) followPeers() {
+// updatePeers updates the list of peers to match the current configuration.
+func (n *Node) updatePeers() {
 	config := n.configs.current()
 	var peers []peer
 	for _, m := range config.Members() {
@@ -68,16 +68,16 @@
 			continue
 		}
 		p := peer{id: m.ID, progress: progress{next: n.log.last().index + 1}}
-		if old := n.lead.peer(m.ID); old != nil {
+		if old := n.leadership.peer(m.ID); old != nil {
 			p = *old
 		}
 		p.voter = config.Voter(m.ID)
 		peers = append(peers, p)
 	}
-	n.lead.peers = peers
+	n.leadership.peers = peers
 }
 
-// appendOwn appends an entry of the leader's own term.
+// appendOwn appends an entry with the current term and the next index.
 func (n *Node) appendOwn(e Entry) Entry {
 	e.Index = n.log.last().index + 1
 	e.Term = n.term
@@ -86,58 +86,59 @@
 }
 
 func (n *Node) tickLeader(now time.Time) {
-	if now.Sub(n.lead.rounds.confirmedAt) >= n.timing.ElectionMin {
-		// No majority confirmed a heartbeat sent lately: the leader is cut off,
-		// or has just woken from a freeze, and another may lead already.
+	if now.Sub(n.leadership.rounds.confirmedAt) >= n.timing.ElectionMin {
+		// No majority confirmed a recent heartbeat. The leader is partitioned
+		// or its process was suspended, and there may already be another one.
 		n.becomeFollower(now, n.term, "")
 		return
 	}
 	n.tickTransfer(now)
-	if n.role == Leader && !now.Before(n.lead.heartbeatAt) {
+	if n.role == Leader && !now.Before(n.leadership.heartbeatAt) {
 		n.heartbeat(now)
 	}
 }
 
-// heartbeat starts a new round to all peers.
+// heartbeat starts a new heartbeat round with all peers.
 func (n *Node) heartbeat(now time.Time) {
-	n.lead.heartbeatAt = now.Add(n.timing.Heartbeat)
-	n.lead.rounds.start(now, n.timing.ElectionMin)
+	n.leadership.heartbeatAt = now.Add(n.timing.Heartbeat)
+	n.leadership.rounds.start(now, n.timing.ElectionMin)
 	n.resendLateSnapshots()
-	for i := range n.lead.peers {
-		n.sendAppend(&n.lead.peers[i], true)
+	for i := range n.leadership.peers {
+		n.sendAppend(&n.leadership.peers[i], true)
 	}
 	n.confirmRounds(now)
 }
 
-// handleAcknowledgement takes in the answer to an append or a snapshot.
+// handleAcknowledgement processes the response to an append or a snapshot.
 func (n *Node) handleAcknowledgement(now time.Time, m Message) {
-	p := n.lead.peer(m.From)
+	p := n.leadership.peer(m.From)
 	if p == nil {
 		return
 	}
-	if at, ok := n.lead.rounds.sentAt(m.Round); ok && m.Round > p.round {
+	if at, ok := n.leadership.rounds.sentAt(m.Round); ok && m.Round > p.round {
 		p.round, p.confirmedAt = m.Round, at
 	}
 	n.confirmRounds(now)
 	if m.Reject {
-		if p.rejected(m.Index, m.Hint) {
+		if p.reject(m.Index, m.Hint) {
 			n.sendAppend(p, true)
 		}
 		return
 	}
 	if m.Index > n.log.last().index {
-		return // claims entries that this leader never had
+		return // acknowledges entries that this leader never had
 	}
-	if p.matched(m.Index) && n.advanceCommit() {
-		n.announceCommit()
+	if p.acknowledge(m.Index) && n.advanceCommit() {
+		n.broadcastCommit()
 	}
 	n.sendAppend(p, false)
 	n.tickTransfer(now)
 }
 
-// advanceCommit commits what a majority holds. Only an entry of the leader's own
-// term is committed by counting: an older one that a majority holds may still
-// be replaced by another leader, unless a newer one is committed above it.
+// advanceCommit commits the entries that a majority has synced. Only an entry of
+// the leader's own term is committed by counting replicas. An entry of an older
+// term on a majority could still be replaced by another leader, unless a newer
+// entry is committed after it.
 func (n *Node) advanceCommit() bool {
 	index := n.majorityIndex()
 	if index <= n.log.commit {
@@ -146,9 +147,9 @@
 	if term, ok := n.log.termAt(index); !ok || term != n.term {
 		return false
 	}
-	for _, e := range n.log.between(max(n.log.commit, n.lead.termStart), index) {
+	for _, e := range n.log.between(max(n.log.commit, n.leadership.termStart), index) {
 		if e.Kind == Proposal {
-			n.lead.uncommitted -= len(e.Data)
+			n.leadership.uncommitted -= len(e.Data)
 		}
 	}
 	n.log.commit = index
@@ -156,15 +157,15 @@
 }
 
 // majorityIndex returns the highest index that a majority of the voters has
-// synced, the leader's own disk included.
+// synced, including the leader itself.
 func (n *Node) majorityIndex() uint64 {
-	matches := make([]uint64, 0, len(n.lead.peers)+1)
+	matches := make([]uint64, 0, len(n.leadership.peers)+1)
 	if n.configs.current().Voter(n.id) {
 		matches = append(matches, n.log.stable)
 	}
-	for i := range n.lead.peers {
-		if n.lead.peers[i].voter {
-			matches = append(matches, n.lead.peers[i].match)
+	for i := range n.leadership.peers {
+		if n.leadership.peers[i].voter {
+			matches = append(matches, n.leadership.peers[i].match)
 		}
 	}
 	return majorityOf(matches)
--- a/consensus/network_test.go
+++ b/consensus/network_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// fataler is what *testing.T and *rapid.T share.
-type fataler interface {
+// testingT is the common interface of *testing.T and *rapid.T.
+type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
@@ -19,47 +19,47 @@
 	m        Message
 }
 
-// network carries messages between servers on virtual time and checks the
-// invariants after every step.
+// network simulates servers and the messages between them in virtual time. It
+// checks the invariants after every step.
 type network struct {
-	t         fataler
-	rng       *rand.Rand
-	timing    Timing
-	now       time.Time
-	servers   []*server
-	wire      []delivery
-	cut       func(from, to ID) bool
-	loss      float64
-	doubles   float64
-	leaders   map[uint64]ID
-	committed []Entry // by index-1, as first committed anywhere
-	snapshots int     // installed
-	posted    map[MessageKind]int
-	trailing  uint64
-	slowDisks bool // syncs take a while, in which messages go on arriving
-	crashes   bool // servers crash between a step and its sync
+	t           testingT
+	rng         *rand.Rand
+	timing      Timing
+	now         time.Time
+	servers     []*server
+	inFlight    []delivery
+	cut         func(from, to ID) bool
+	loss        float64
+	duplication float64
+	leaders     map[uint64]ID
+	committed   []Entry // entries in index order, as first committed on any server
+	snapshots   int     // number of installed snapshots
+	sentCount   map[MessageKind]int
+	trailing    uint64
+	slowDisks   bool // syncs take time, during which messages keep arriving
+	crashes     bool // servers crash between a step and the sync that follows it
 }
 
-var trueStart = time.Unix(1_000_000, 0)
+var startTime = time.Unix(1_000_000, 0)
 
-func newNetwork(t fataler, seed uint64, size int) *network {
+func newNetwork(t testingT, seed uint64, size int) *network {
 	return newNetworkWith(t, seed, size, DefaultTiming())
 }
 
-func newNetworkWith(t fataler, seed uint64, size int, timing Timing) *network {
-	w := &network{t: t, rng: rand.New(rand.NewPCG(seed, 7)), timing: timing, now: trueStart, leaders: map[uint64]ID{}}
-	w.trailing, w.posted = 8, map[MessageKind]int{}
+func newNetworkWith(t testingT, seed uint64, size int, timing Timing) *network {
+	w := &network{t: t, rng: rand.New(rand.NewPCG(seed, 7)), timing: timing, now: startTime, leaders: map[uint64]ID{}}
+	w.trailing, w.sentCount = 8, map[MessageKind]int{}
 	var initial Configuration
 	for i := range size {
 		initial.Voters = append(initial.Voters, Member{ID: ID(fmt.Sprintf("v%d", i+1))})
 	}
 	for _, m := range initial.Voters {
-		w.boot(&server{id: m.ID, rate: 1}, initial)
+		w.addServer(&server{id: m.ID, rate: 1}, initial)
 	}
 	return w
 }
 
-func (w *network) boot(s *server, initial Configuration) *server {
+func (w *network) addServer(s *server, initial Configuration) *server {
 	w.servers = append(w.servers, s)
 	w.start(s, initial)
 	return s
@@ -72,8 +72,8 @@
 	if err != nil {
 		w.t.Fatalf("start of %s: %v", s.id, err)
 	}
-	s.node, s.up, s.frozenAt, s.inbox = node, true, time.Time{}, nil
-	s.published, s.pending = time.Time{}, nil
+	s.node, s.up, s.suspendedAt, s.inbox = node, true, time.Time{}, nil
+	s.publishedLease, s.pending = time.Time{}, nil
 	s.restoreState(s.disk.Snapshot)
 	s.node.Tick(s.clock(w.now))
 }
@@ -87,12 +87,13 @@
 	return nil
 }
 
-// pump does what the driver does: sync, send, apply, advance.
-func (w *network) pump(s *server) {
+// processReady processes a server's ready work as the driver does: sync, send, apply,
+// advance.
+func (w *network) processReady(s *server) {
 	for s.running() && s.node.HasReady() {
 		b := s.node.Ready()
 		if s.failSync {
-			s.up = false // an unsynced promise may not leave
+			s.up = false // messages must not be sent before the sync
 			return
 		}
 		if w.slowDisks && w.rng.IntN(4) == 0 {
@@ -100,20 +101,20 @@
 			s.syncedAt = w.now.Add(time.Duration(w.rng.Int64N(int64(50 * time.Millisecond))))
 			break
 		}
-		w.finish(s, &b)
+		w.completeBatch(s, &b)
 	}
-	if until := s.node.Status().LeaseUntil; until.After(s.published) {
-		s.published = until
+	if until := s.node.Status().LeaseUntil; until.After(s.publishedLease) {
+		s.publishedLease = until
 	}
 	w.checkLeases()
 }
 
-// finish does what follows the sync of a batch.
-func (w *network) finish(s *server, b *Batch) {
+// completeBatch performs the work that follows the sync of a batch.
+func (w *network) completeBatch(s *server, b *Batch) {
 	s.disk.save(b)
-	w.noteLeader(s, b.SoftState)
+	w.recordLeader(s, b.SoftState)
 	for _, m := range b.Messages {
-		w.post(m)
+		w.send(m)
 	}
 	if b.Snapshot != nil {
 		s.restoreState(*b.Snapshot)
@@ -126,19 +127,19 @@
 	s.node.Advance()
 }
 
-// synced ends a slow sync.
-func (w *network) synced(s *server) {
+// completeSync completes a delayed sync.
+func (w *network) completeSync(s *server) {
 	b := s.pending
 	s.pending = nil
-	w.finish(s, b)
-	w.pump(s)
+	w.completeBatch(s, b)
+	w.processReady(s)
 }
 
 func (w *network) apply(s *server, e Entry) {
-	if e.Index != s.at+1 {
-		w.t.Fatalf("%s applied %d after %d", s.id, e.Index, s.at)
+	if e.Index != s.appliedIndex+1 {
+		w.t.Fatalf("%s applied %d after %d", s.id, e.Index, s.appliedIndex)
 	}
-	s.at = e.Index
+	s.appliedIndex = e.Index
 	if e.Kind == Proposal {
 		s.applied = append(s.applied, string(e.Data))
 	}
@@ -152,7 +153,7 @@
 	}
 }
 
-func (w *network) noteLeader(s *server, soft SoftState) {
+func (w *network) recordLeader(s *server, soft SoftState) {
 	if soft.Role != Leader {
 		return
 	}
@@ -162,12 +163,13 @@
 	w.leaders[soft.Term] = s.id
 }
 
-// checkLeases counts the holders at this instant of true time. What a node
-// once told of its lease counts, also after it stepped down or was frozen.
+// checkLeases verifies that at most one server holds a lease at the current real
+// time. A lease counts once its node has published it, even if the node has since
+// stepped down or was suspended.
 func (w *network) checkLeases() {
 	var holder ID
 	for _, s := range w.servers {
-		if !s.up || !s.clock(w.now).Before(s.published) {
+		if !s.up || !s.clock(w.now).Before(s.publishedLease) {
 			continue
 		}
 		if holder != "" {
@@ -177,28 +179,28 @@
 	}
 }
 
-func (w *network) post(m Message) {
+func (w *network) send(m Message) {
 	if w.cut != nil && w.cut(m.From, m.To) || w.rng.Float64() < w.loss {
 		return
 	}
-	w.posted[m.Kind]++
+	w.sentCount[m.Kind]++
 	copies := 1
-	if w.rng.Float64() < w.doubles {
+	if w.rng.Float64() < w.duplication {
 		copies = 2
 	}
 	for range copies {
 		delay := time.Millisecond
-		if w.doubles > 0 { // with doubles, also late and reordered, some very late
+		if w.duplication > 0 { // with duplicates also delayed and reordered messages, some with a long delay
 			delay += time.Duration(w.rng.Int64N(int64(5 * time.Millisecond)))
 			if w.rng.IntN(20) == 0 {
 				delay += time.Duration(w.rng.Int64N(int64(2 * time.Second)))
 			}
 		}
-		w.wire = append(w.wire, delivery{w.now.Add(delay), w.now, m})
+		w.inFlight = append(w.inFlight, delivery{w.now.Add(delay), w.now, m})
 	}
 }
 
-// run lets true time pass, event by event.
+// run advances time by d and processes all events in between.
 func (w *network) run(d time.Duration) {
 	end := w.now.Add(d)
 	for w.step(end) {
@@ -206,35 +208,35 @@
 	w.now = end
 }
 
-// until runs until the condition holds and fails after a limit.
-func (w *network) until(limit time.Duration, what string, condition func() bool) {
+// waitFor advances time waitFor the condition holds, and fails after the limit.
+func (w *network) waitFor(limit time.Duration, what string, condition func() bool) {
 	w.t.Helper()
 	end := w.now.Add(limit)
 	for !condition() {
 		if !w.step(end) {
-			w.t.Fatalf("not within %v: %s", limit, what)
+			w.t.Fatalf("condition not met within %v: %s", limit, what)
 		}
 	}
 }
 
-// step does the next event before end.
+// step processes the next event before end. It returns false if there is none.
 func (w *network) step(end time.Time) bool {
 	at, do := end, func() {}
 	for _, s := range w.servers {
 		if !s.running() {
 			continue
 		}
-		due := trueStart.Add(time.Duration(float64(s.node.NextTick().Sub(trueStart))/s.rate) + 1)
+		due := startTime.Add(time.Duration(float64(s.node.NextTick().Sub(startTime))/s.rate) + 1)
 		if due.Before(at) {
-			at, do = due, func() { s.node.Tick(s.clock(w.now)); w.pump(s) }
+			at, do = due, func() { s.node.Tick(s.clock(w.now)); w.processReady(s) }
 		}
 		if s.pending != nil && s.syncedAt.Before(at) {
-			at, do = s.syncedAt, func() { w.synced(s) }
+			at, do = s.syncedAt, func() { w.completeSync(s) }
 		}
 	}
-	if i := w.nextDelivery(); i >= 0 && w.wire[i].at.Before(at) {
-		d := w.wire[i]
-		at, do = d.at, func() { w.wire = slices.Delete(w.wire, i, i+1); w.deliver(d) }
+	if i := w.nextDelivery(); i >= 0 && w.inFlight[i].at.Before(at) {
+		d := w.inFlight[i]
+		at, do = d.at, func() { w.inFlight = slices.Delete(w.inFlight, i, i+1); w.deliver(d) }
 	}
 	if !at.Before(end) {
 		return false
@@ -248,16 +250,16 @@
 
 func (w *network) nextDelivery() int {
 	next := -1
-	for i := range w.wire {
-		if next < 0 || w.wire[i].at.Before(w.wire[next].at) {
+	for i := range w.inFlight {
+		if next < 0 || w.inFlight[i].at.Before(w.inFlight[next].at) {
 			next = i
 		}
 	}
 	return next
 }
 
-// deliver finds the process that has the address of the recipient now: a voter
-// with a new ID has the address of its old self.
+// deliver passes a message to the process at the recipient's address. A voter with
+// a new ID keeps the address of the voter that it replaced.
 func (w *network) deliver(d delivery) {
 	address, _, _ := strings.Cut(string(d.m.To), "-")
 	for _, s := range w.servers {
@@ -265,7 +267,7 @@
 		if own != address || !s.up {
 			continue
 		}
-		if !s.frozenAt.IsZero() {
+		if !s.suspendedAt.IsZero() {
 			s.inbox = append(s.inbox, d)
 			continue
 		}
@@ -275,7 +277,7 @@
 
 func (w *network) receive(s *server, m Message, now time.Time) {
 	if w.rng.IntN(8) == 0 {
-		m = w.overTheWire(m)
+		m = w.encodeAndDecode(m)
 	}
 	if err := s.node.Step(now, m); err != nil {
 		w.t.Fatalf("%s: %v", s.id, err)
@@ -284,10 +286,10 @@
 		w.crash(s)
 		return
 	}
-	w.pump(s)
+	w.processReady(s)
 }
 
-func (w *network) overTheWire(m Message) Message {
+func (w *network) encodeAndDecode(m Message) Message {
 	encoded, err := EncodeMessage(&m)
 	if err != nil {
 		w.t.Fatalf("encode: %v", err)
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -1,13 +1,14 @@
-// Package consensus keeps a replicated log among the voters of the control
-// group. Node is a pure state machine: messages, proposals and ticks go in, and
-// batches of records to sync, messages to send and entries to apply come out.
-// It has no I/O, no goroutines and no clock of its own.
+// Package consensus replicates a log among the voters of the control group,
+// using the Raft algorithm. Node is a deterministic state machine without I/O,
+// goroutines or a clock of its own. Its inputs are messages, proposals and
+// ticks; its outputs are batches of records to sync, messages to send and
+// entries to apply.
 package consensus
 
 import "time"
 
-// ID names one voter for ever: a voter whose disk is lost comes back under a
-// new one.
+// ID permanently identifies one voter. A voter that lost its disk rejoins under
+// a new ID.
 type ID string
 
 // Entry is one record of the log.
@@ -18,31 +19,32 @@
 	Data  []byte    `json:"data,omitempty"`
 }
 
-// EntryKind tells the system's own entries from proposals.
+// EntryKind distinguishes entries of the protocol from proposals.
 type EntryKind uint8
 
 const (
-	// Proposal entries carry data of the state machine above.
+	// Proposal entries contain data for the replicated state machine.
 	Proposal EntryKind = iota
-	// Empty entries are the first of each leader's term.
+	// Empty entries are appended first in each leader's term.
 	Empty
-	// Reconfiguration entries carry an encoded Configuration.
+	// Reconfiguration entries contain an encoded Configuration.
 	Reconfiguration
 )
 
-// Configuration is the set of members in force from its log index on.
+// Configuration is the set of members. It takes effect at the index of its log
+// entry.
 type Configuration struct {
 	Voters   []Member `json:"voters"`
 	Learners []Member `json:"learners,omitempty"`
 }
 
-// Member is a voter or learner with the control address where it is reached.
+// Member is a voter or learner and its control address.
 type Member struct {
 	ID      ID     `json:"id"`
 	Address string `json:"address"`
 }
 
-// HardState is what must be synced before any message that depends on it.
+// HardState must be synced before any message that depends on it is sent.
 type HardState struct {
 	Term   uint64 `json:"term"`
 	Vote   ID     `json:"vote,omitempty"`
@@ -57,78 +59,78 @@
 	Data          []byte        `json:"data"`
 }
 
-// MessageKind is the kind of a Message.
+// MessageKind is the type of a Message.
 type MessageKind uint8
 
-// The messages between voters.
+// Message kinds exchanged between members.
 const (
 	PreVoteRequest MessageKind = iota
 	PreVoteResponse
 	VoteRequest
 	VoteResponse
-	AppendRequest // also the heartbeat
+	AppendRequest // also serves as the heartbeat
 	AppendResponse
 	SnapshotRequest
 	SnapshotResponse
-	TimeoutNow // the leader hands over before it leaves
+	TimeoutNow // the leader asks the target of a transfer to campaign at once
 )
 
-// Message travels between two voters. Messages may be lost, doubled, late and
-// reordered without harm.
+// Message is sent from one member to another. The protocol tolerates lost,
+// duplicated, delayed and reordered messages.
 type Message struct {
 	Kind     MessageKind `json:"kind"`
 	From     ID          `json:"from"`
 	To       ID          `json:"to"`
 	Term     uint64      `json:"term"`
-	Index    uint64      `json:"index"`    // of the entry before Entries; last index in votes; match index in responses
+	Index    uint64      `json:"index"`    // index before Entries; last log index in vote requests; match index in responses
 	LogTerm  uint64      `json:"log_term"` // term at Index
 	Entries  []Entry     `json:"entries,omitempty"`
 	Commit   uint64      `json:"commit"`
 	Reject   bool        `json:"reject,omitempty"`
-	Force    bool        `json:"force,omitempty"` // vote asked for by the leader, which has given up its lease
-	Hint     uint64      `json:"hint,omitempty"`  // where to continue after a rejected append
-	Round    uint64      `json:"round,omitempty"` // heartbeat round, echoed, for leases and reads
+	Force    bool        `json:"force,omitempty"` // vote requested by the leader, which has released its lease
+	Hint     uint64      `json:"hint,omitempty"`  // index at which to continue after a rejected append
+	Round    uint64      `json:"round,omitempty"` // heartbeat round, echoed in responses; used for leases and reads
 	Snapshot *Snapshot   `json:"snapshot,omitempty"`
 }
 
-// Batch is the work that Ready hands out. The driver syncs HardState, Entries
-// and Snapshot, in this order and in one go, then sends Messages, then applies
-// Committed, then calls Advance. If the sync fails it must stop the node: an
-// unsynced promise may not leave.
+// Batch is the work returned by Ready. The driver first syncs HardState, Entries
+// and Snapshot, in this order and as one operation. It then sends Messages,
+// applies Committed and calls Advance. If the sync fails the driver must stop
+// the node: messages that depend on unsynced state must not be sent.
 type Batch struct {
-	HardState  *HardState // nil: unchanged
-	Entries    []Entry    // to append; an entry at an existing index replaces it and all behind
-	Snapshot   *Snapshot  // received from the leader: install before Committed
+	HardState  *HardState // nil if unchanged
+	Entries    []Entry    // to append; an entry at an existing index replaces that entry and all after it
+	Snapshot   *Snapshot  // received from the leader; install before applying Committed
 	Messages   []Message
 	Committed  []Entry
 	ReadStates []ReadState
 	SoftState  SoftState
 }
 
-// Empty reports whether there is nothing to do.
+// Empty reports whether the batch contains no work.
 func (b *Batch) Empty() bool {
 	return b.HardState == nil && len(b.Entries) == 0 && b.Snapshot == nil &&
 		len(b.Messages) == 0 && len(b.Committed) == 0 && len(b.ReadStates) == 0
 }
 
-// ReadState answers one ReadIndex: once entries up to Index are applied, a read
-// is at least as new as the moment of the call.
+// ReadState is the result of a ReadIndex call. Once the entries up to Index are
+// applied, a read reflects everything that was accepted before the call.
 type ReadState struct {
 	Context uint64
 	Index   uint64
 }
 
-// SoftState need not survive.
+// SoftState is volatile state that does not need to be stored.
 type SoftState struct {
 	Leader ID
 	Role   Role
 	Term   uint64
 }
 
-// Role is the present role of a node.
+// Role is the current role of a node.
 type Role uint8
 
-// The roles of a node.
+// The roles that a node can have.
 const (
 	Follower Role = iota
 	Candidate
@@ -138,14 +140,15 @@
 
 // Timing holds the intervals of the protocol.
 type Timing struct {
-	Heartbeat   time.Duration // between the leader's heartbeats
-	ElectionMin time.Duration // a follower waits at least so long, plus up to the same again, drawn from the injected source
-	Lease       time.Duration // the leader's lease after the send of a round acknowledged by a majority; below ElectionMin
+	Heartbeat   time.Duration // interval between the leader's heartbeats
+	ElectionMin time.Duration // minimum election timeout; a random duration of up to the same length is added
+	Lease       time.Duration // duration of the leader's lease, from the send of a round that a majority confirmed; less than ElectionMin
 }
 
-// Storage reads what the driver has synced. Node keeps the unsynced tail itself.
+// Storage is the state that the driver has synced, as read at start. Node keeps
+// unsynced entries in memory.
 type Storage struct {
 	HardState HardState
-	Snapshot  Snapshot // zero: none
-	Entries   []Entry  // after the snapshot, contiguous
+	Snapshot  Snapshot // zero if there is none
+	Entries   []Entry  // contiguous entries after the snapshot
 }
--- a/consensus/progress.go
+++ b/consensus/progress.go
@@ -5,42 +5,42 @@
 type progressState uint8
 
 const (
-	// streaming sends entries without waiting for answers.
+	// streaming sends entries without waiting for responses.
 	streaming progressState = iota
-	// probing looks for the last equal entry, one message at a time.
+	// probing searches for the last matching entry, one message at a time.
 	probing
-	// snapshotting waits for a snapshot to be installed.
+	// snapshotting waits until the member has installed a snapshot.
 	snapshotting
 )
 
-// The window bounds what is on its way to one member, in entries and about in
-// bytes: a member that takes in slowly must not fill the leader's memory.
+// Limits on unacknowledged entries per member, by count and by approximate size.
+// They keep a slow member from using up the leader's memory.
 const (
 	windowEntries = 1024
 	windowBytes   = 4 << 20
 )
 
-// progress is what the leader knows of one other member.
+// progress is the leader's view of one member's replication progress.
 type progress struct {
 	state        progressState
-	match        uint64    // last index known to be synced there
+	match        uint64    // last index known to be synced on the member
 	next         uint64    // next index to send
-	sent         int       // bytes sent since the last news of match
-	round        uint64    // last heartbeat round that it confirmed
-	confirmedAt  time.Time // when that round was sent
+	sent         int       // bytes sent since match last advanced
+	round        uint64    // last heartbeat round that the member confirmed
+	confirmedAt  time.Time // send time of that round
 	snapshotSent time.Time
-	snapshot     uint64 // index of the snapshot on its way
+	snapshot     uint64 // index of the snapshot being sent
 }
 
 func (p *progress) paused() bool {
 	return p.state != streaming || p.next > p.match+windowEntries || p.sent >= windowBytes
 }
 
-// matched notes that the member holds the log up to an index, and reports
-// whether that is news.
-func (p *progress) matched(index uint64) bool {
-	news := index > p.match
-	if news {
+// acknowledge records that the member has synced the log up to an index. It
+// reports whether match advanced.
+func (p *progress) acknowledge(index uint64) bool {
+	advanced := index > p.match
+	if advanced {
 		p.sent = 0
 	}
 	p.match = max(p.match, index)
@@ -51,12 +51,12 @@
 	case p.state == snapshotting && p.match >= p.snapshot:
 		p.state = streaming
 	}
-	return news
+	return advanced
 }
 
-// rejected notes that the member lacks the entry at an index, and reports
-// whether the leader should probe again. A late rejection changes nothing.
-func (p *progress) rejected(index, hint uint64) bool {
+// reject records that the member has no matching entry at an index, and reports
+// whether the leader should probe again. An outdated rejection has no effect.
+func (p *progress) reject(index, hint uint64) bool {
 	if p.state == snapshotting || index <= p.match || index >= p.next {
 		return false
 	}
--- a/consensus/property_test.go
+++ b/consensus/property_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed, so that a run of the tests is the same every time; the
-// flags of rapid still change it.
+// TestMain sets a fixed seed so that test runs are reproducible. The flags of
+// rapid override it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20261202")
 	_ = flag.Set("rapid.checks", "100")
@@ -22,35 +22,36 @@
 	os.Exit(m.Run())
 }
 
-// chaos is a network on which anything goes wrong that may.
+// chaos is a network with random faults.
 type chaos struct {
 	*network
-	proposed int
-	lost     ID // voter whose disk is lost and which is not replaced yet
-	spare    ID // the one that takes its place
-	spares   int
+	proposed     int
+	failedVoter  ID // voter that lost its disk and is not replaced yet
+	replacement  ID // voter that replaces it
+	replacements int
 }
 
-// Messages are lost, doubled, late and reordered; the network parts in any way;
-// voters crash, lose their disks, freeze and wake with old leases; clocks run at
-// different rates; logs are compacted and voters replaced. One leader a term,
-// one order of changes everywhere, nothing accepted is lost, one lease at a
-// time: the network checks all of it after every step.
-func TestAnythingGoesWrong(t *testing.T) {
+// Random faults: messages are lost, duplicated, delayed and reordered; the network
+// is partitioned; voters crash, lose their disks, or are suspended and resume with
+// old leases; clocks run at different rates; logs are compacted and voters
+// replaced. After every step the network checks that each term has one leader,
+// all servers apply the same changes in the same order, no accepted change is
+// lost, and at most one lease is valid.
+func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { runChaos(t, rapid.Uint64().Draw(t, "seed")) })
 }
 
-// chaosSteps is the number of disturbances of one run. All of them come from the
-// seed: a failing seed is kept as a plain test.
+// chaosSteps is the number of faults in one run. All of them are derived from the
+// seed; a failing seed is kept as a regular test.
 const chaosSteps = 200
 
-func runChaos(t fataler, seed uint64) {
+func runChaos(t testingT, seed uint64) {
 	w := &chaos{network: newNetwork(t, seed, 3+2*int(seed%2))}
 	w.trailing = seed % 5
 	for i, s := range w.servers {
 		s.rate = 1 + 0.03*float64(i%3-1)
-		w.pump(s)
-		w.restart(s) // its clock is another one now
+		w.processReady(s)
+		w.restart(s) // because its clock rate changed
 	}
 	w.slowDisks, w.crashes = true, true
 	for range chaosSteps {
@@ -59,8 +60,8 @@
 	}
 	w.slowDisks, w.crashes = false, false
 	w.heal()
-	w.run(5 * time.Second) // handovers under way end
-	w.agree()
+	w.run(5 * time.Second) // let transfers in progress end
+	w.waitForConvergence()
 }
 
 func (w *chaos) disturb() {
@@ -69,11 +70,11 @@
 	case 0, 1, 2, 3, 4, 5:
 		w.proposeSomewhere()
 	case 6:
-		w.part()
+		w.partition()
 	case 7, 8:
 		w.cut, w.loss = nil, 0
 	case 9:
-		w.loss, w.doubles = 0.2*w.rng.Float64(), 0.2*w.rng.Float64()
+		w.loss, w.duplication = 0.2*w.rng.Float64(), 0.2*w.rng.Float64()
 	case 10:
 		if s.running() {
 			w.crash(s)
@@ -82,18 +83,18 @@
 		w.restartOne()
 	case 14:
 		if s.running() {
-			w.freeze(s)
+			w.suspend(s)
 		}
 	case 15, 16:
-		if s.up && !s.frozenAt.IsZero() {
-			w.thaw(s)
+		if s.up && !s.suspendedAt.IsZero() {
+			w.resume(s)
 		}
 	case 17:
 		if s.running() && s.pending == nil {
 			w.compact(s)
 		}
 	case 18:
-		w.handOver()
+		w.transferLeadership()
 	case 19:
 		w.repair()
 	}
@@ -110,8 +111,8 @@
 	}
 }
 
-// part cuts the network in two, in one direction or in both.
-func (w *chaos) part() {
+// partition splits the network in two, in one direction or in both.
+func (w *chaos) partition() {
 	left := map[ID]bool{}
 	for _, s := range w.servers {
 		left[s.id] = w.rng.IntN(2) == 0
@@ -120,82 +121,85 @@
 	w.cut = func(from, to ID) bool { return left[from] != left[to] && (!oneWay || left[from]) }
 }
 
-// replaced reports whether a server's disk was lost before.
-func (w *chaos) replaced(s *server) bool { return s.disk.empty() && len(s.applied) == 0 && s.at > 0 }
+// replaced reports whether a server has lost its disk.
+func (w *chaos) replaced(s *server) bool {
+	return s.disk.empty() && len(s.applied) == 0 && s.appliedIndex > 0
+}
 
 func (w *chaos) restartOne() {
 	for _, s := range w.servers {
-		if !s.up && s.id != w.lost && !w.replaced(s) {
+		if !s.up && s.id != w.failedVoter && !w.replaced(s) {
 			w.restart(s)
 			return
 		}
 	}
 }
 
-func (w *chaos) handOver() {
+func (w *chaos) transferLeadership() {
 	if l := w.leader(); l != nil {
 		to := w.servers[w.rng.IntN(len(w.servers))].id
 		_ = l.node.TransferLeadership(l.clock(w.now), to)
-		w.pump(l)
+		w.processReady(l)
 	}
 }
 
-// repair loses a disk, or takes the next step of the replacement.
+// repair destroys a disk, or performs the next step of the replacement.
 func (w *chaos) repair() {
 	leader := w.leader()
 	if leader == nil {
 		return
 	}
 	config := leader.node.Status().Configuration
-	if w.lost == "" {
+	if w.failedVoter == "" {
 		w.loseDisk(config)
 		return
 	}
 	next := Configuration{Voters: slices.Clone(config.Voters)}
 	switch {
-	case config.Voter(w.spare) && !config.Voter(w.lost):
+	case config.Voter(w.replacement) && !config.Voter(w.failedVoter):
 		if !leader.node.Status().ConfigPending && leader.node.HasLease(leader.clock(w.now)) {
-			w.lost = "" // only now another disk may go
+			w.failedVoter = "" // only now may another disk be lost
 		}
 		return
-	case config.Voter(w.spare):
-		next.Voters = slices.DeleteFunc(next.Voters, func(m Member) bool { return m.ID == w.lost })
-	case config.Learner(w.spare):
-		next.Voters = append(next.Voters, Member{ID: w.spare})
+	case config.Voter(w.replacement):
+		next.Voters = slices.DeleteFunc(next.Voters, func(m Member) bool { return m.ID == w.failedVoter })
+	case config.Learner(w.replacement):
+		next.Voters = append(next.Voters, Member{ID: w.replacement})
 	default:
-		next.Learners = []Member{{ID: w.spare}}
+		next.Learners = []Member{{ID: w.replacement}}
 	}
 	_ = leader.node.ProposeConfig(leader.clock(w.now), next)
-	w.pump(leader)
+	w.processReady(leader)
 }
 
-// loseDisk destroys a voter; its instance comes back empty under a new ID.
+// loseDisk destroys a voter's disk. Its instance rejoins with an empty disk and a
+// new ID.
 func (w *chaos) loseDisk(config Configuration) {
 	victim := w.server(config.Voters[w.rng.IntN(len(config.Voters))].ID)
 	victim.up, victim.disk, victim.applied = false, Storage{}, nil
-	victim.at = max(victim.at, 1)
-	w.spares++
-	w.lost = victim.id
-	name := fmt.Sprintf("%.2s-%d", victim.id, w.spares)
-	w.spare = ID(name)
-	w.boot(&server{id: w.spare, rate: victim.rate}, Configuration{})
+	victim.appliedIndex = max(victim.appliedIndex, 1)
+	w.replacements++
+	w.failedVoter = victim.id
+	name := fmt.Sprintf("%.2s-%d", victim.id, w.replacements)
+	w.replacement = ID(name)
+	w.addServer(&server{id: w.replacement, rate: victim.rate}, Configuration{})
 }
 
-// heal mends everything and finishes a replacement.
+// heal removes all faults and completes a replacement in progress.
 func (w *chaos) heal() {
-	w.cut, w.loss, w.doubles = nil, 0, 0
+	w.cut, w.loss, w.duplication = nil, 0, 0
 	for _, s := range w.servers {
-		if s.up && !s.frozenAt.IsZero() {
-			w.thaw(s)
+		if s.up && !s.suspendedAt.IsZero() {
+			w.resume(s)
 		}
-		if !s.up && s.id != w.lost && !w.replaced(s) {
+		if !s.up && s.id != w.failedVoter && !w.replaced(s) {
 			w.restart(s)
 		}
 	}
-	w.until(60*time.Second, "the repair", func() bool {
-		if w.lost != "" && w.rng.IntN(4) == 0 {
+	w.waitFor(60*time.Second, "the repair", func() bool {
+		if w.failedVoter != "" && w.rng.IntN(4) == 0 {
 			w.repair()
 		}
-		return w.lost == ""
+		return w.failedVoter == ""
 	})
 }
--- a/consensus/raft.go
+++ b/consensus/raft.go
@@ -7,12 +7,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Node is one voter or learner. It is a pure state machine and not safe for
-// concurrent use. Every method that takes now must be given the node's own
-// monotonic clock, which never goes back.
+// Node is one voter or learner. It is a deterministic state machine and not safe
+// for concurrent use. The now argument of every method must come from the node's
+// own monotonic clock, which never goes backwards.
 //
-// Calls may come between Ready and Advance; what they cause is in the next
-// batch.
+// Methods may be called between Ready and Advance; their effects appear in the
+// next batch.
 type Node struct {
 	id       ID
 	timing   Timing
@@ -21,7 +21,7 @@
 
 	log      entryLog
 	configs  configHistory
-	snapshot Snapshot // newest that is installed
+	snapshot Snapshot // newest installed snapshot
 
 	term   uint64
 	vote   ID
@@ -29,27 +29,27 @@
 	leader ID
 
 	started bool
-	// refuseUntil guards the leader's lease: until then this node grants no vote
-	// and starts no election, unless the leader itself asked for one.
+	// refuseUntil protects the leader's lease. Before this time the node grants
+	// no vote and starts no election, unless the leader itself requested it.
 	refuseUntil time.Time
 	electionAt  time.Time
 	ballot      ballot
-	lead        leadership
+	leadership  leaderState
 
-	messages []Message
-	reads    []ReadState
-	received *Snapshot // from the leader, not yet installed by the driver
-	handed   handedOut
+	messages    []Message
+	reads       []ReadState
+	received    *Snapshot // received from the leader, not yet installed by the driver
+	outstanding outstandingBatch
 }
 
-// New returns a node that goes on from what is synced in its storage.
+// New returns a node that resumes from its synced storage.
 //
-// A voter whose disk is lost must come back under a new ID: it has forgotten
-// its votes and entries, and as its old self it could help to elect a leader
-// without entries that it once confirmed. Three things enforce this: the ID
-// comes from the identity file in the data folder, which is made anew with a
-// random part when it is missing; Step drops messages to any other ID; and
-// Initial is only passed on the first start of a new group.
+// A voter that lost its disk must rejoin under a new ID. It no longer knows its
+// votes and entries, and under its old ID it could help to elect a leader that
+// lacks entries it had confirmed. Three things enforce this: the ID comes from
+// the identity file in the data folder, which is created with a random part when
+// it is missing; Step drops messages addressed to any other ID; and Initial is
+// passed only on the first start of a new group.
 func New(cfg Config, storage Storage) (*Node, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -69,8 +69,8 @@
 	return s.HardState == HardState{} && s.Snapshot.Index == 0 && len(s.Entries) == 0
 }
 
-// bootstrap starts a new group with its first configuration as the first entry,
-// so that members which start without it get it like any other entry.
+// bootstrap starts a new group with its initial configuration as the first log
+// entry. Members that start without a configuration receive it by replication.
 func (n *Node) bootstrap(initial Configuration) {
 	first := Entry{Index: 1, Term: 1, Kind: Reconfiguration, Data: initial.encode()}
 	n.term = 1
@@ -89,16 +89,17 @@
 	}
 	n.log.append(s.Entries...)
 	n.log.stable = n.log.last().index
-	// A commit index beyond the log is left by a crash between the hard state
-	// and the snapshot that was received with it; the leader sends it again.
+	// A crash after the hard state was written but before the snapshot received
+	// with it leaves a commit index beyond the end of the log. The leader sends
+	// the snapshot again.
 	n.log.commit = max(n.log.commit, min(s.HardState.Commit, n.log.last().index))
 	n.term = max(n.term, n.log.last().term)
-	n.handed.hardState = n.hardState()
+	n.outstanding.hardState = n.hardState()
 	return n.configs.record(s.Entries)
 }
 
-// checkContiguous refuses entries that do not follow index one by one, or whose
-// terms go back.
+// checkContiguous rejects entries that do not follow index consecutively, or
+// whose terms decrease.
 func checkContiguous(index uint64, entries []Entry) error {
 	term := uint64(0)
 	for _, e := range entries {
@@ -118,10 +119,10 @@
 	return HardState{Term: n.term, Vote: n.vote, Commit: n.log.commit}
 }
 
-// start arms the timers at the first call that tells the time. A node that just
-// started grants no vote for ElectionMin: before the restart it may have
-// confirmed a heartbeat on which a leader's lease rests.
-func (n *Node) start(now time.Time) {
+// startTimers sets the timers on the first call that passes the time. A node that
+// was just started grants no vote for ElectionMin, because before the restart it
+// may have confirmed a heartbeat on which a leader's lease depends.
+func (n *Node) startTimers(now time.Time) {
 	if n.started {
 		return
 	}
@@ -130,9 +131,10 @@
 	n.resetElection(now)
 }
 
-// Tick lets time pass. It must be called at NextTick or soon after.
+// Tick processes timers that have expired. It must be called at or soon after
+// NextTick.
 func (n *Node) Tick(now time.Time) {
-	n.start(now)
+	n.startTimers(now)
 	if n.role == Leader {
 		n.tickLeader(now)
 		return
@@ -146,19 +148,19 @@
 	}
 }
 
-// NextTick returns when Tick must be called next. Zero means at once.
+// NextTick returns the time of the next required Tick. Zero means immediately.
 func (n *Node) NextTick() time.Time {
 	if !n.started {
 		return time.Time{}
 	}
 	if n.role == Leader {
-		return n.lead.nextTick(n.timing)
+		return n.leadership.nextTick(n.timing)
 	}
 	return n.electionAt
 }
 
-// resetElection draws a new election timeout. The draw keeps two voters from
-// campaigning in step and splitting the votes for ever.
+// resetElection sets a new random election timeout. Randomness prevents two
+// voters from campaigning at the same time repeatedly and splitting the votes.
 func (n *Node) resetElection(now time.Time) {
 	wait := n.timing.ElectionMin
 	wait += time.Duration(n.rand.Int64N(int64(n.timing.ElectionMin)))
--- a/consensus/reconfigure.go
+++ b/consensus/reconfigure.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// ProposeConfig changes the members, at most one voter at a time, so that the
-// majorities before and after the change share a voter. Learners may change
-// freely. Errors mean that nothing was done.
+// ProposeConfig changes the members. At most one voter may be added or removed
+// at a time, so that any majority before the change and any majority after it
+// have a voter in common. Learners may change freely. If ProposeConfig returns
+// an error, nothing was changed.
 //
 // To replace a voter: add the new one as a learner, wait until it has caught up,
-// make it a voter, and remove the old one after that. Each step is refused until
-// the one before is committed and the majority afterwards would hold every
-// committed entry: otherwise the loss of a second voter right after the repair
-// could lose an accepted change.
+// promote it to voter, then remove the old one. Each step is rejected until the
+// previous one is committed and the resulting majority would hold every
+// committed entry. Otherwise the loss of a second voter right after the
+// replacement could lose an accepted change.
 func (n *Node) ProposeConfig(now time.Time, next Configuration) error {
-	n.start(now)
-	if err := n.mayPropose(); err != nil {
+	n.startTimers(now)
+	if err := n.checkCanPropose(); err != nil {
 		return err
 	}
 	if err := n.checkChange(next); err != nil {
@@ -21,19 +22,19 @@
 	}
 	e := n.appendOwn(Entry{Kind: Reconfiguration, Data: next.encode()})
 	n.configs.changes = append(n.configs.changes, configChange{e.Index, next})
-	n.followPeers()
-	n.sendNew()
+	n.updatePeers()
+	n.broadcastEntries()
 	return nil
 }
 
 func (n *Node) checkChange(next Configuration) error {
 	current := n.configs.current()
-	added := missingFrom(next.Voters, current.Voters)
-	removed := missingFrom(current.Voters, next.Voters)
+	added := membersNotIn(next.Voters, current.Voters)
+	removed := membersNotIn(current.Voters, next.Voters)
 	switch {
 	case len(next.Voters) == 0 || next.check() != nil:
 		return refuse(RefusedMalformed)
-	case n.log.commit < n.lead.termStart:
+	case n.log.commit < n.leadership.termStart:
 		return refuse(RefusedTermStart)
 	case n.configs.lastIndex() > n.log.commit:
 		return refuse(RefusedPending)
@@ -51,39 +52,39 @@
 	return nil
 }
 
-// checkPromotion lets a learner count only once it holds every committed entry
-// on its disk.
+// checkPromotion allows a learner to become a voter only if it has synced every
+// committed entry.
 func (n *Node) checkPromotion(id ID) error {
 	if !n.configs.current().Learner(id) {
 		return refuse(RefusedNotLearner)
 	}
-	if !n.upToDate(n.lead.peer(id)) {
+	if !n.upToDate(n.leadership.peer(id)) {
 		return refuse(RefusedBehind)
 	}
 	return nil
 }
 
-// checkRemoval lets a voter leave only when a majority of those that stay can
-// be reached and holds every committed entry.
+// checkRemoval allows the removal of a voter only if a majority of the remaining
+// voters is reachable and holds every committed entry.
 func (n *Node) checkRemoval(next Configuration) error {
-	good := 1 // the leader itself
+	upToDateVoters := 1 // the leader
 	for _, m := range next.Voters {
-		if m.ID != n.id && n.upToDate(n.lead.peer(m.ID)) {
-			good++
+		if m.ID != n.id && n.upToDate(n.leadership.peer(m.ID)) {
+			upToDateVoters++
 		}
 	}
-	if good < next.Majority() {
+	if upToDateVoters < next.Majority() {
 		return refuse(RefusedUnsafe)
 	}
 	return nil
 }
 
-// upToDate reports whether a peer can be reached and holds every committed entry.
+// upToDate reports whether a peer is reachable and holds every committed entry.
 func (n *Node) upToDate(p *peer) bool {
 	return p != nil && p.match >= n.log.commit && n.reachable(p)
 }
 
 // reachable reports whether a peer confirmed a round sent within ElectionMin.
 func (n *Node) reachable(p *peer) bool {
-	return n.lead.rounds.lastAt().Sub(p.confirmedAt) < n.timing.ElectionMin
+	return n.leadership.rounds.lastAt().Sub(p.confirmedAt) < n.timing.ElectionMin
 }
--- a/consensus/reconfigure_test.go
+++ b/consensus/reconfigure_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// replace does what the operator's one command does: learner, voter, old one out.
+// replace performs the steps of the operator command that replaces a voter: add a
+// learner, promote it, remove the old voter.
 func (w *network) replace(old ID, replacement *server) {
 	w.t.Helper()
-	w.boot(replacement, Configuration{})
+	w.addServer(replacement, Configuration{})
 	leader := w.electLeader()
 	config := leader.node.Status().Configuration
 	config.Learners = []Member{{ID: replacement.id}}
@@ -23,20 +24,21 @@
 	w.reconfigure(config)
 }
 
-// reconfigure repeats a change until the leader takes it, and waits for the commit.
+// reconfigure retries a change until the leader accepts it, and waits until it is
+// committed.
 func (w *network) reconfigure(config Configuration) {
 	w.t.Helper()
 	leader := w.electLeader()
-	w.until(10*time.Second, fmt.Sprintf("change to %v", config), func() bool {
+	w.waitFor(10*time.Second, fmt.Sprintf("change to %v", config), func() bool {
 		err := leader.node.ProposeConfig(leader.clock(w.now), config)
-		w.pump(leader)
+		w.processReady(leader)
 		return err == nil
 	})
-	w.until(5*time.Second, "commit of the change", func() bool { return !leader.node.Status().ConfigPending })
+	w.waitFor(5*time.Second, "commit of the change", func() bool { return !leader.node.Status().ConfigPending })
 }
 
-// One voter's disk is lost and replaced; right after the repair a second voter
-// dies for good. A change that was accepted before must still be there.
+// One voter's disk is lost and the voter is replaced; right after that, a second
+// voter fails permanently. Changes that were accepted before must not be lost.
 func TestSecondLossRightAfterRepairLosesNothing(t *testing.T) {
 	w := newNetwork(t, 8, 3)
 	w.commit(50)
@@ -56,10 +58,10 @@
 	w.checkHistory(w.electLeader().node.Status().Configuration)
 }
 
-// A voter loses its disk and is started again at its address. Its old self had
-// confirmed a change that only it and a voter which is now away hold; if it
-// voted as its old self, a third could lead without that change.
-func TestLostDiskDoesNotVoteAsItsOldSelf(t *testing.T) {
+// A voter loses its disk and is restarted at the same address. It had confirmed a
+// change that otherwise only a stopped voter holds. If it voted under its old ID,
+// the third voter could be elected without that change.
+func TestVoterWithLostDiskDoesNotVoteUnderItsOldID(t *testing.T) {
 	w := newNetwork(t, 9, 3)
 	w.commit(5)
 	leader, confirmed := w.electLeader(), w.follower()
@@ -73,17 +75,18 @@
 	w.commit(5)
 	leader.up, confirmed.up = false, false
 	w.restart(behind)
-	w.boot(&server{id: confirmed.id + "-2", rate: 1}, Configuration{})
+	w.addServer(&server{id: confirmed.id + "-2", rate: 1}, Configuration{})
 	w.run(time.Minute)
 	if l := w.leader(); l != nil {
-		t.Fatalf("%s leads without the accepted changes", l.id)
+		t.Fatalf("%s was elected without the accepted changes", l.id)
 	}
 	w.restart(leader)
-	w.agree()
+	w.waitForConvergence()
 }
 
-// A learner that is still empty is promoted by mistake, or two voters change at
-// once. The group could lose its majority or its entries, so each is refused.
+// A learner that is still empty is promoted by mistake, or two voters are changed
+// at once. The group could lose its majority or its entries, so each of these
+// changes must be rejected.
 func TestUnsafeChangesAreRefused(t *testing.T) {
 	w := newNetwork(t, 10, 3)
 	w.commit(20)
@@ -111,7 +114,7 @@
 		t.Fatal(err)
 	}
 	refused(RefusedPending, Configuration{Voters: without(other.id)})
-	w.pump(leader)
+	w.processReady(leader)
 	w.run(time.Second)
 	other.up = false
 	w.run(2 * w.timing.ElectionMin)
--- a/consensus/recovery_test.go
+++ b/consensus/recovery_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// All voters lose power after a thousand changes, and start again.
+// All voters lose power after a thousand changes and restart. No change may be
+// lost.
 func TestRestartAfterAThousandChanges(t *testing.T) {
 	w := newNetwork(t, 6, 3)
 	w.commit(1000)
@@ -16,66 +17,67 @@
 	for _, s := range w.servers {
 		w.restart(s)
 	}
-	w.agree()
+	w.waitForConvergence()
 	if got := len(w.servers[0].applied); got != 1001 {
 		t.Fatalf("%d changes after the restart", got)
 	}
 }
 
-// A voter is away while 5,000 changes go by and the others compact their logs.
-// It would be behind for minutes, or for ever, if it needed each change.
+// A voter is down while the group commits 5,000 changes and the others compact
+// their logs. It must catch up with a single snapshot; replicating every change
+// would take minutes or never finish.
 func TestSnapshotCatchUpIsOneTransfer(t *testing.T) {
 	w := newNetwork(t, 7, 3)
 	w.commit(5)
-	late := w.follower()
-	late.up = false
+	behind := w.follower()
+	behind.up = false
 	for range 10 {
 		w.commit(500)
 	}
 	w.compact(w.electLeader())
 	w.run(10 * time.Second)
-	w.restart(late)
-	w.until(3*time.Second, "caught up", func() bool { return late.at >= uint64(len(w.committed)) })
-	if w.snapshots != 1 || w.posted[SnapshotRequest] != 1 {
-		t.Fatalf("%d snapshots were installed, %d sent", w.snapshots, w.posted[SnapshotRequest])
+	w.restart(behind)
+	w.waitFor(3*time.Second, "caught up", func() bool { return behind.appliedIndex >= uint64(len(w.committed)) })
+	if w.snapshots != 1 || w.sentCount[SnapshotRequest] != 1 {
+		t.Fatalf("%d snapshots were installed, %d sent", w.snapshots, w.sentCount[SnapshotRequest])
 	}
-	w.agree()
+	w.waitForConvergence()
 }
 
-// The one message with the snapshot is lost. The voter would stay behind for
-// ever, and the next loss of a voter would stop all changes.
+// The message with the snapshot is lost. Without a resend the voter would stay
+// behind permanently, and the loss of another voter would stop all changes.
 func TestLostSnapshotIsSentAgain(t *testing.T) {
 	w := newNetwork(t, 14, 3)
 	w.commit(5)
-	late := w.follower()
-	late.up = false
+	behind := w.follower()
+	behind.up = false
 	w.commit(50)
 	w.compact(w.electLeader())
-	w.restart(late)
-	w.until(5*time.Second, "a snapshot on its way", func() bool { return w.posted[SnapshotRequest] > 0 })
-	w.wire = nil
-	w.until(10*time.Second, "caught up", func() bool { return late.at >= uint64(len(w.committed)) })
+	w.restart(behind)
+	w.waitFor(5*time.Second, "a snapshot is being sent", func() bool { return w.sentCount[SnapshotRequest] > 0 })
+	w.inFlight = nil
+	w.waitFor(10*time.Second, "caught up", func() bool { return behind.appliedIndex >= uint64(len(w.committed)) })
 }
 
-// A voter comes back with a higher term than the leader's, from an election that
-// nobody else remembers. It drops the leader's messages as old, and would stay
-// out of the group for ever.
-func TestVoterWithAHigherTermComesBack(t *testing.T) {
+// A voter restarts with a higher term than the leader's, from an election that no
+// other voter knows of. It drops the leader's messages as outdated, and without a
+// response to them it would never rejoin the group.
+func TestVoterWithAHigherTermRejoins(t *testing.T) {
 	w := newNetwork(t, 15, 3)
 	w.commit(5)
-	stray := w.follower()
-	w.crash(stray)
-	stray.disk.HardState = HardState{Term: 50, Vote: stray.id}
+	rejoining := w.follower()
+	w.crash(rejoining)
+	rejoining.disk.HardState = HardState{Term: 50, Vote: rejoining.id}
 	w.run(time.Second)
-	w.restart(stray)
+	w.restart(rejoining)
 	w.run(10 * time.Second)
 	w.commit(1)
-	w.agree()
+	w.waitForConvergence()
 }
 
-// The leader hands over before it shuts down. If the target led while the old
-// lease still held, two issuers would be active; if the target never answers,
-// the group may not stay without a leader.
+// The leader transfers its leadership before it shuts down. If the target became
+// leader while the old lease was valid, two issuers would be active. If the target
+// never responds, the group must still elect a leader.
 func TestTransferWaitsForTheLease(t *testing.T) {
 	w := newNetwork(t, 11, 3)
 	w.commit(5)
@@ -83,24 +85,25 @@
 	if err := old.node.TransferLeadership(old.clock(w.now), target.id); err != nil {
 		t.Fatal(err)
 	}
-	w.pump(old)
-	w.until(3*time.Second, "handover", func() bool { return w.leader() == target })
-	w.agree()
+	w.processReady(old)
+	w.waitFor(3*time.Second, "leadership transfer", func() bool { return w.leader() == target })
+	w.waitForConvergence()
 
 	old, target = w.electLeader(), w.follower()
 	target.up = false
 	if err := old.node.TransferLeadership(old.clock(w.now), target.id); err != nil {
 		t.Fatal(err)
 	}
-	if w.propose(old, "during the handover") {
-		t.Fatal("a leader that hands over took a proposal")
+	if w.propose(old, "during the transfer") {
+		t.Fatal("a leader accepted a proposal during a transfer")
 	}
 	w.run(4 * time.Second)
 	w.commit(1)
 }
 
-// A deposed leader that has not noticed answers a read from its old state. The
-// reader would miss a change that another was told is accepted.
+// A deposed leader that does not know it yet must not answer a read from its old
+// state. The reader would miss a change that another caller already knows to be
+// accepted.
 func TestReadOfADeposedLeaderIsNotAnswered(t *testing.T) {
 	w := newNetwork(t, 12, 3)
 	w.commit(5)
@@ -109,7 +112,7 @@
 		if err := s.node.ReadIndex(s.clock(w.now), context); err != nil {
 			t.Fatal(err)
 		}
-		w.pump(s)
+		w.processReady(s)
 	}
 	read(old, 1)
 	read(old, 2)
@@ -118,7 +121,7 @@
 	if len(old.reads) != 2 || old.reads[1] != want {
 		t.Fatalf("reads %+v, want %+v", old.reads, want)
 	}
-	w.cut = alone(old.id)
+	w.cut = isolate(old.id)
 	read(old, 3)
 	w.run(3 * time.Second)
 	w.commit(1)
@@ -129,10 +132,10 @@
 	}
 }
 
-// The leader's host dies. Changes stall and leases are not renewed until another
-// leads; the wait must be short for every draw of the timeouts.
+// The leader's host fails. Changes stall and leases are not renewed until there is
+// a new leader, so the election time must be bounded for all random timeouts.
 func TestNewLeaderInBoundedTime(t *testing.T) {
-	const bound = 4 * time.Second // the lease of the old one, a timeout and a second try
+	const bound = 4 * time.Second // the old leader's lease, one election timeout and a second election
 	var longest time.Duration
 	for seed := range uint64(60) {
 		w := newNetwork(t, seed, 3+2*int(seed%2))
@@ -140,7 +143,7 @@
 		w.run(w.timing.ElectionMin)
 		w.crash(w.electLeader())
 		died := w.now
-		w.until(bound, "a leader with a lease", func() bool {
+		w.waitFor(bound, "a leader with a lease", func() bool {
 			l := w.leader()
 			return l != nil && l.node.HasLease(l.clock(w.now))
 		})
--- a/consensus/replicate.go
+++ b/consensus/replicate.go
@@ -1,15 +1,15 @@
 package consensus
 
 const (
-	// maxAppendBytes bounds the data of one append message.
+	// maxAppendBytes limits the size of the entries in one append message.
 	maxAppendBytes = 1 << 20
-	// snapshotPatience is the number of election minimums after which a snapshot
-	// that was not confirmed is sent again.
-	snapshotPatience = 3
+	// snapshotResendFactor, multiplied by ElectionMin, is the time after which an
+	// unconfirmed snapshot is sent again.
+	snapshotResendFactor = 3
 )
 
-// sendAppend sends what a peer lacks. A heartbeat is sent also when there is
-// nothing or the peer is paused; it then carries no entries.
+// sendAppend sends a peer the entries that it lacks. A heartbeat is sent even if
+// there are no new entries or the peer is paused; it then contains no entries.
 func (n *Node) sendAppend(p *peer, heartbeat bool) {
 	if p.state == snapshotting {
 		if heartbeat {
@@ -19,7 +19,7 @@
 	}
 	term, ok := n.log.termAt(p.next - 1)
 	if !ok {
-		n.offerSnapshot(p, heartbeat)
+		n.sendSnapshotIfReachable(p, heartbeat)
 		return
 	}
 	var entries []Entry
@@ -31,7 +31,7 @@
 	}
 	n.send(Message{
 		Kind: AppendRequest, To: p.id, Index: p.next - 1, LogTerm: term,
-		Entries: entries, Commit: n.log.commit, Round: n.lead.rounds.last(),
+		Entries: entries, Commit: n.log.commit, Round: n.leadership.rounds.last(),
 	})
 	p.next += uint64(len(entries))
 	for i := range entries {
@@ -39,16 +39,16 @@
 	}
 }
 
-// sendKeepAlive keeps a peer from campaigning while it takes in a snapshot. The
+// sendKeepAlive keeps a peer from campaigning while it installs a snapshot. The
 // position before the first entry matches every log.
 func (n *Node) sendKeepAlive(p *peer) {
-	n.send(Message{Kind: AppendRequest, To: p.id, Round: n.lead.rounds.last()})
+	n.send(Message{Kind: AppendRequest, To: p.id, Round: n.leadership.rounds.last()})
 }
 
-// offerSnapshot sends a snapshot to a peer that can be reached. One that can't
-// gets keep-alives until it answers: a snapshot sent to a dead peer is wasted,
-// and when the peer came back it would wait for a resend.
-func (n *Node) offerSnapshot(p *peer, heartbeat bool) {
+// sendSnapshotIfReachable sends a snapshot to a reachable peer. An unreachable
+// peer gets keep-alives until it responds: a snapshot sent to it would be wasted,
+// and once the peer returned it would have to wait for the resend interval.
+func (n *Node) sendSnapshotIfReachable(p *peer, heartbeat bool) {
 	switch {
 	case n.reachable(p):
 		n.sendSnapshot(p)
@@ -60,35 +60,36 @@
 func (n *Node) sendSnapshot(p *peer) {
 	p.state = snapshotting
 	p.snapshot = n.snapshot.Index
-	p.snapshotSent = n.lead.rounds.lastAt()
+	p.snapshotSent = n.leadership.rounds.lastAt()
 	s := n.snapshot
-	n.send(Message{Kind: SnapshotRequest, To: p.id, Round: n.lead.rounds.last(), Snapshot: &s})
+	n.send(Message{Kind: SnapshotRequest, To: p.id, Round: n.leadership.rounds.last(), Snapshot: &s})
 }
 
-// resendLateSnapshots gives up on snapshots that were lost on the way; without
-// it, one lost message would leave a member behind for ever.
+// resendLateSnapshots sends snapshots again that were not confirmed in time.
+// Without it, one lost message would leave a member behind permanently.
 func (n *Node) resendLateSnapshots() {
-	for i := range n.lead.peers {
-		p := &n.lead.peers[i]
-		if p.state == snapshotting && n.lead.rounds.lastAt().Sub(p.snapshotSent) >= snapshotPatience*n.timing.ElectionMin {
+	for i := range n.leadership.peers {
+		p := &n.leadership.peers[i]
+		if p.state == snapshotting && n.leadership.rounds.lastAt().Sub(p.snapshotSent) >= snapshotResendFactor*n.timing.ElectionMin {
 			n.sendSnapshot(p)
 		}
 	}
 }
 
-// announceCommit tells the peers of a new commit index at once, so that a change
-// is in force a round trip after it was accepted and not a heartbeat later.
-func (n *Node) announceCommit() {
-	for i := range n.lead.peers {
-		if p := &n.lead.peers[i]; p.state == streaming {
+// broadcastCommit sends a new commit index to the peers immediately. A change
+// then takes effect one round trip after it was accepted, instead of at the next
+// heartbeat.
+func (n *Node) broadcastCommit() {
+	for i := range n.leadership.peers {
+		if p := &n.leadership.peers[i]; p.state == streaming {
 			n.sendAppend(p, true)
 		}
 	}
 }
 
-// sendNew sends new entries to all peers that are not paused.
-func (n *Node) sendNew() {
-	for i := range n.lead.peers {
-		n.sendAppend(&n.lead.peers[i], false)
+// broadcastEntries sends new entries to all peers that are not paused.
+func (n *Node) broadcastEntries() {
+	for i := range n.leadership.peers {
+		n.sendAppend(&n.leadership.peers[i], false)
 	}
 }
--- a/consensus/replicate_test.go
+++ b/consensus/replicate_test.go
@@ -4,10 +4,10 @@
 	"testing"
 )
 
-// Entries are replaced by a new leader while the disk still writes them. Taken
-// as synced, the replacement would never reach the disk.
+// A new leader replaces entries while they are being synced. If the replacements
+// were treated as synced, they would never reach the disk.
 func TestEntriesReplacedDuringASyncAreSyncedAgain(t *testing.T) {
-	b := newBench(t, 2)
+	b := newHarness(t, 2)
 	old := []Entry{{Index: 2, Term: 2}, {Index: 3, Term: 2}, {Index: 4, Term: 2}}
 	b.step(Message{Kind: AppendRequest, From: "v2", Term: 2, Index: 1, LogTerm: 1, Entries: old})
 	b.node.Ready()
@@ -24,10 +24,10 @@
 	}
 }
 
-// A change of the voters that was never committed is replaced by another leader.
-// The old voters must be in force again, or majorities would be miscounted.
+// An uncommitted change of the voters is replaced by another leader. The previous
+// voters must be current again; otherwise majorities would be miscounted.
 func TestReplacedConfigurationIsUndone(t *testing.T) {
-	b := newBench(t, 2)
+	b := newHarness(t, 2)
 	next := Configuration{Voters: threeVoters.Voters[:2]}
 	change := Entry{Index: 2, Term: 2, Kind: Reconfiguration, Data: next.encode()}
 	b.step(Message{Kind: AppendRequest, From: "v2", Term: 2, Index: 1, LogTerm: 1, Entries: []Entry{change}})
@@ -40,10 +40,10 @@
 	}
 }
 
-// A read arrives just after a heartbeat left. Confirmations of that heartbeat do
-// not prove that the leader still led when the read came.
-func TestReadNeedsARoundThatBeganAfterIt(t *testing.T) {
-	b := newBench(t, 3)
+// A read arrives just after a heartbeat was sent. Confirmations of that heartbeat
+// do not prove that the leader was still leader when the read arrived.
+func TestReadRequiresARoundStartedAfterIt(t *testing.T) {
+	b := newHarness(t, 3)
 	b.lead()
 	b.step(Message{Kind: AppendResponse, From: "v2", Term: 4, Index: 2, Round: 1})
 	b.settle()
@@ -55,7 +55,7 @@
 	}
 	b.step(Message{Kind: AppendResponse, From: "v2", Term: 4, Index: 2, Round: 2})
 	if batch := b.settle(); len(batch.ReadStates) > 0 {
-		t.Fatal("answered by a round of before the read")
+		t.Fatal("the read was answered by a round sent before it")
 	}
 	b.step(Message{Kind: AppendResponse, From: "v2", Term: 4, Index: 2, Round: 3})
 	if batch := b.settle(); len(batch.ReadStates) != 1 || batch.ReadStates[0].Context != 7 {
@@ -63,21 +63,22 @@
 	}
 }
 
-// A rejection comes late, after the member has confirmed more.
+// A rejection arrives late, after the member has acknowledged more entries. It
+// must not move the next index back.
 func TestLateRejectionChangesNothing(t *testing.T) {
 	p := progress{match: 10, next: 20}
 	for _, index := range []uint64{5, 10, 20, 1 << 60} {
-		if p.rejected(index, 3) || p.next != 20 || p.state != streaming {
+		if p.reject(index, 3) || p.next != 20 || p.state != streaming {
 			t.Fatalf("rejection at %d left %+v", index, p)
 		}
 	}
-	if !p.rejected(15, 3) || p.next != 11 || p.state != probing {
-		t.Fatalf("a good rejection left %+v", p)
+	if !p.reject(15, 3) || p.next != 11 || p.state != probing {
+		t.Fatalf("a valid rejection left %+v", p)
 	}
 }
 
-// A voter was the leader of a small part of the group and has a thousand entries
-// that nobody else has. One round trip for each would take minutes.
+// A voter led a minority and has a thousand entries that no other voter has. One
+// round trip per entry would take minutes, so the hint must skip a whole term.
 func TestConflictHintSkipsAWholeTerm(t *testing.T) {
 	l := entryLog{commit: 3}
 	for i := uint64(1); i <= 1000; i++ {
@@ -92,18 +93,19 @@
 			t.Errorf("hint for %+v is %d, want %d", p, got, want)
 		}
 	}
-	b := newBench(t, 3, 2, 2, 2)
+	b := newHarness(t, 3, 2, 2, 2)
 	b.step(Message{Kind: AppendRequest, From: "v2", Term: 3, Index: 4, LogTerm: 3})
 	if m := b.settle().Messages[0]; !m.Reject || m.Index != 4 || m.Hint != 1 {
 		t.Errorf("answer %+v", m)
 	}
 }
 
-// Large changes are kept in memory behind a snapshot for followers that are a
-// little late. Counted and not weighed, they would take hundreds of megabytes.
+// Large changes are kept in memory after a snapshot for slightly slow followers.
+// If only their number were limited and not their size, they would use hundreds of
+// megabytes.
 func TestTrailingEntriesAreBounded(t *testing.T) {
 	for size, want := range map[int]uint64{10: 60, 1 << 20: 4} {
-		b := newBench(t, 3)
+		b := newHarness(t, 3)
 		b.node.trailing = 60
 		b.lead()
 		for range 100 {
@@ -124,31 +126,31 @@
 	}
 }
 
-// A leader that can't commit, or a follower that takes in slowly, is sent large
-// changes without end. The leader's memory would grow with them.
+// A leader that can't commit, or that has a slow follower, keeps receiving large
+// changes. Without limits its memory use would grow indefinitely.
 func TestLargeChangesAreBounded(t *testing.T) {
-	b := newBench(t, 3)
+	b := newHarness(t, 3)
 	b.lead()
 	b.step(Message{Kind: AppendResponse, From: "v2", Term: 4, Index: 2, Round: 1})
 	b.settle()
 	large := make([]byte, 1<<20)
-	taken, onTheWay := 0, map[ID]int{}
+	accepted, inFlight := 0, map[ID]int{}
 	for range 40 {
 		if _, _, err := b.node.Propose(b.now, large); err == nil {
-			taken++
+			accepted++
 		}
 		for _, m := range b.settle().Messages {
 			for _, e := range m.Entries {
-				onTheWay[m.To] += len(e.Data)
+				inFlight[m.To] += len(e.Data)
 			}
 		}
 	}
-	if taken != maxUncommittedBytes/len(large) {
-		t.Fatalf("%d large changes were taken", taken)
+	if accepted != maxUncommittedBytes/len(large) {
+		t.Fatalf("%d large changes were accepted", accepted)
 	}
-	for id, bytes := range onTheWay {
+	for id, bytes := range inFlight {
 		if bytes > windowBytes+len(large) {
-			t.Fatalf("%d bytes are on the way to %s", bytes, id)
+			t.Fatalf("%d bytes are in flight to %s", bytes, id)
 		}
 	}
 	b.step(Message{Kind: AppendResponse, From: "v2", Term: 4, Index: 18})
--- a/consensus/rules_test.go
+++ b/consensus/safety_test.go
@@ -9,16 +9,16 @@
 
 var threeVoters = Configuration{Voters: []Member{{ID: "v1"}, {ID: "v2"}, {ID: "v3"}}}
 
-// bench steps one node by hand.
-type bench struct {
+// harness runs a single node step by step.
+type harness struct {
 	t    *testing.T
 	node *Node
 	now  time.Time
 }
 
-// newBench starts v1 of three voters with a log whose entries have the given
-// terms, behind the entry of the configuration.
-func newBench(t *testing.T, term uint64, terms ...uint64) *bench {
+// newHarness starts v1 of three voters. Its log contains the configuration entry,
+// followed by entries with the given terms.
+func newHarness(t *testing.T, term uint64, terms ...uint64) *harness {
 	t.Helper()
 	log := []Entry{{Index: 1, Term: 1, Kind: Reconfiguration, Data: threeVoters.encode()}}
 	for i, entryTerm := range terms {
@@ -29,14 +29,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, node: n, now: trueStart}
+	b := &harness{t: t, node: n, now: startTime}
 	n.Tick(b.now)
 	b.settle()
 	return b
 }
 
-// settle takes all batches and returns the last.
-func (b *bench) settle() Batch {
+// settle processes all pending batches and returns the last one.
+func (b *harness) settle() Batch {
 	var last Batch
 	for b.node.HasReady() {
 		last = b.node.Ready()
@@ -45,7 +45,7 @@
 	return last
 }
 
-func (b *bench) step(m Message) {
+func (b *harness) step(m Message) {
 	b.t.Helper()
 	m.To = "v1"
 	if err := b.node.Step(b.now, m); err != nil {
@@ -53,8 +53,8 @@
 	}
 }
 
-// lead makes the node the leader of the next term.
-func (b *bench) lead() {
+// lead makes the node leader of the next term.
+func (b *harness) lead() {
 	b.node.campaign(b.now, ballotVote)
 	b.settle()
 	b.step(Message{Kind: VoteResponse, From: "v2", Term: b.node.term})
@@ -64,11 +64,11 @@
 	}
 }
 
-// A leader finds an entry of an older term on a majority and counts it as
-// committed; another leader, elected without it, replaces it. An accepted change
-// would revert.
+// A leader must not commit an entry of an older term because a majority holds it.
+// Another leader, elected without that entry, could replace it, which would revert
+// an accepted change.
 func TestOldTermIsNotCommittedByCounting(t *testing.T) {
-	b := newBench(t, 3, 2)
+	b := newHarness(t, 3, 2)
 	b.lead()
 	b.step(Message{Kind: AppendResponse, From: "v2", Term: 4, Index: 2})
 	if got := b.node.Status().Commit; got != 1 {
@@ -80,31 +80,31 @@
 	}
 }
 
-// A voter helps to elect another leader while the old one's lease, which rests
-// on this voter, still holds. Two issuers would act at once.
+// A voter must not help to elect another leader while the old leader's lease, which
+// depends on this voter, is still valid. Two issuers would act at the same time.
 func TestVotersProtectTheLease(t *testing.T) {
 	timing := DefaultTiming()
 	tests := []struct {
 		name    string
-		prepare func(b *bench)
+		prepare func(b *harness)
 		wait    time.Duration
 		force   bool
 		granted bool
 	}{
-		{"just started", func(*bench) {}, timing.ElectionMin - 1, false, false},
-		{"started long ago", func(*bench) {}, timing.ElectionMin, false, true},
-		{"heard the leader", hearLeader, timing.ElectionMin - 1, false, false},
-		{"heard it long ago", hearLeader, timing.ElectionMin, false, true},
-		{"asked by the leader", hearLeader, 0, true, true},
-		{"led with a lease", leadAndStepDown, timing.Lease - 1, false, false},
-		{"led with a lapsed lease", leadAndStepDown, timing.Lease, false, true},
+		{"just started", func(*harness) {}, timing.ElectionMin - 1, false, false},
+		{"started long ago", func(*harness) {}, timing.ElectionMin, false, true},
+		{"recent heartbeat", receiveHeartbeat, timing.ElectionMin - 1, false, false},
+		{"old heartbeat", receiveHeartbeat, timing.ElectionMin, false, true},
+		{"requested by the leader", receiveHeartbeat, 0, true, true},
+		{"was leader with a lease", leadAndStepDown, timing.Lease - 1, false, false},
+		{"was leader with an expired lease", leadAndStepDown, timing.Lease, false, true},
 	}
 	for _, test := range tests {
 		for _, kind := range []MessageKind{PreVoteRequest, VoteRequest} {
 			if test.force && kind == PreVoteRequest {
 				continue
 			}
-			b := newBench(t, 3)
+			b := newHarness(t, 3)
 			test.prepare(b)
 			b.now = b.now.Add(test.wait)
 			term := b.node.term
@@ -123,14 +123,15 @@
 	}
 }
 
-func hearLeader(b *bench) {
+func receiveHeartbeat(b *harness) {
 	b.now = b.now.Add(10 * time.Second)
 	b.step(Message{Kind: AppendRequest, From: "v2", Term: 3, Index: 1, LogTerm: 1})
 	b.settle()
 }
 
-// leadAndStepDown leaves the node a follower with a lease that runs from now.
-func leadAndStepDown(b *bench) {
+// leadAndStepDown makes the node leader and then follower, with a lease that
+// starts now.
+func leadAndStepDown(b *harness) {
 	b.now = b.now.Add(10 * time.Second)
 	b.lead()
 	b.step(Message{Kind: AppendResponse, From: "v2", Term: 4, Index: 2, Round: 1})
@@ -142,14 +143,15 @@
 	b.settle()
 }
 
-// A voter grants its vote, crashes, and grants it to another in the same term.
+// A voter that grants its vote, crashes and restarts must not grant it to another
+// candidate in the same term. The vote must be synced before the response is sent.
 func TestVoteIsSyncedWithItsAnswer(t *testing.T) {
-	b := newBench(t, 3)
+	b := newHarness(t, 3)
 	b.now = b.now.Add(time.Minute)
 	b.step(Message{Kind: VoteRequest, From: "v3", Term: 4, Index: 1, LogTerm: 1})
 	batch := b.settle()
 	if batch.HardState == nil || batch.HardState.Vote != "v3" || len(batch.Messages) != 1 {
-		t.Fatalf("the answer leaves with %+v", batch.HardState)
+		t.Fatalf("the response is sent with hard state %+v", batch.HardState)
 	}
 	b.step(Message{Kind: VoteRequest, From: "v2", Term: 4, Index: 9, LogTerm: 3})
 	if batch = b.settle(); !batch.Messages[0].Reject {
@@ -157,10 +159,11 @@
 	}
 }
 
-// Entries follow a snapshot before that is on the disk. Confirmed at once, they
-// would be lost with the snapshot at a crash although the leader counted them.
-func TestNothingBehindAnUnsyncedSnapshotIsConfirmed(t *testing.T) {
-	b := newBench(t, 3)
+// Entries arrive after a snapshot that is not synced yet. If the voter confirmed
+// them immediately, a crash would lose them with the snapshot although the leader
+// had counted them.
+func TestEntriesAfterAnUnsyncedSnapshotAreNotConfirmed(t *testing.T) {
+	b := newHarness(t, 3)
 	snapshot := Snapshot{Index: 9, Term: 3, Configuration: threeVoters}
 	b.step(Message{Kind: SnapshotRequest, From: "v2", Term: 3, Snapshot: &snapshot})
 	b.step(Message{Kind: AppendRequest, From: "v2", Term: 3, Index: 9, LogTerm: 3, Entries: []Entry{{Index: 10, Term: 3}}})
@@ -175,20 +178,22 @@
 	}
 }
 
-// The new voter in place of a lost one gets the messages for its old self.
+// A voter that replaced a lost one receives messages for its predecessor's ID and
+// must drop them.
 func TestMessageForAnotherVoterIsDropped(t *testing.T) {
-	b := newBench(t, 3)
+	b := newHarness(t, 3)
 	b.now = b.now.Add(time.Minute)
 	m := Message{Kind: VoteRequest, From: "v3", To: "v1-old", Term: 9, Index: 9, LogTerm: 9}
 	if err := b.node.Step(b.now, m); err != nil || b.node.HasReady() {
-		t.Fatalf("it answered; %v", err)
+		t.Fatalf("the node responded: %v", err)
 	}
 }
 
-// A leader changes the voters before it knows what its predecessor committed.
-// Two changes by two leaders could then have majorities without a common voter.
-func TestChangeOfVotersWaitsForAnOwnCommit(t *testing.T) {
-	b := newBench(t, 3)
+// A leader must not change the voters before it knows what its predecessor
+// committed. Two changes by two leaders could otherwise have majorities without a
+// common voter.
+func TestChangeOfVotersWaitsForACommitInTheCurrentTerm(t *testing.T) {
+	b := newHarness(t, 3)
 	b.lead()
 	err := b.node.ProposeConfig(b.now, Configuration{Voters: threeVoters.Voters[:2]})
 	var refused *RefusedError
@@ -197,10 +202,10 @@
 	}
 }
 
-// A confirmation takes long to come back. Counted from its arrival, the lease
-// would outlast the time for which the voter refuses other candidates.
+// A confirmation arrives late. If the lease started at its arrival, it would
+// outlast the time for which the voter rejects other candidates.
 func TestLeaseRunsFromTheSend(t *testing.T) {
-	b := newBench(t, 3)
+	b := newHarness(t, 3)
 	b.lead()
 	sent := b.now
 	b.now = b.now.Add(500 * time.Millisecond)
--- a/consensus/server_test.go
+++ b/consensus/server_test.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// server is a node with its disk, its clock and what it applied.
+// server is a node with a simulated disk and clock, and the entries it applied.
 type server struct {
-	id        ID
-	node      *Node
-	disk      Storage
-	up        bool
-	frozenAt  time.Time // true time; zero when it runs
-	inbox     []delivery
-	rate      float64 // of its clock against true time
-	applied   []string
-	at        uint64 // last applied index
-	published time.Time
-	failSync  bool   // the next sync fails
-	pending   *Batch // being synced by a slow disk
-	syncedAt  time.Time
-	reads     []ReadState
+	id             ID
+	node           *Node
+	disk           Storage
+	up             bool
+	suspendedAt    time.Time // real time of the suspension; zero if running
+	inbox          []delivery
+	rate           float64 // clock rate relative to real time
+	applied        []string
+	appliedIndex   uint64 // last applied index
+	publishedLease time.Time
+	failSync       bool   // the next sync fails
+	pending        *Batch // batch being synced by a slow disk
+	syncedAt       time.Time
+	reads          []ReadState
 }
 
 func (s *server) restoreState(snap Snapshot) {
-	s.applied, s.at = nil, snap.Index
+	s.applied, s.appliedIndex = nil, snap.Index
 	if snap.Index > 0 {
 		_ = json.Unmarshal(snap.Data, &s.applied)
 	}
 }
 
 func (s *server) clock(now time.Time) time.Time {
-	return trueStart.Add(time.Duration(s.rate * float64(now.Sub(trueStart))))
+	return startTime.Add(time.Duration(s.rate * float64(now.Sub(startTime))))
 }
 
-func (s *server) running() bool { return s.up && s.frozenAt.IsZero() }
+func (s *server) running() bool { return s.up && s.suspendedAt.IsZero() }
 
-// save is the synced disk of a batch.
+// save applies a synced batch to the storage.
 func (d *Storage) save(b *Batch) {
 	if b.HardState != nil {
 		d.HardState = *b.HardState
@@ -53,25 +53,25 @@
 	}
 }
 
-func (w *network) freeze(s *server) { s.frozenAt = w.now }
+func (w *network) suspend(s *server) { s.suspendedAt = w.now }
 
-// thaw wakes a frozen server. A message that it had already taken when it froze
-// is stepped with the time that was read then.
-func (w *network) thaw(s *server) {
-	frozenAt, inbox := s.frozenAt, s.inbox
-	s.frozenAt, s.inbox = time.Time{}, nil
+// resume resumes a suspended server. A message that it had received before the
+// suspension is stepped with the time read before it.
+func (w *network) resume(s *server) {
+	suspendedAt, inbox := s.suspendedAt, s.inbox
+	s.suspendedAt, s.inbox = time.Time{}, nil
 	w.checkLeases()
 	for _, d := range inbox {
 		now := s.clock(w.now)
-		if !d.sent.After(frozenAt) {
-			now = s.clock(frozenAt)
+		if !d.sent.After(suspendedAt) {
+			now = s.clock(suspendedAt)
 		}
 		w.receive(s, d.m, now)
 	}
 }
 
-// crash loses everything that was not synced. Of a batch that was being
-// written, a prefix may be on the disk.
+// crash stops a server, which loses all unsynced state. A prefix of a batch that
+// was being written may be on the disk.
 func (w *network) crash(s *server) {
 	b := s.pending
 	if b == nil && s.up && s.node.HasReady() {
--- a/consensus/step.go
+++ b/consensus/step.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Step takes in a message. A message that is late, doubled or not for this node
-// is dropped without an error. An error means that this node's log contradicts
-// the group's: the driver must stop the node, because going on could revert
-// what was accepted.
+// Step processes a message. A message that is outdated, duplicated or addressed
+// to another node is dropped without an error. An error means that this node's
+// log contradicts the group's log. The driver must then stop the node, because
+// continuing could revert accepted changes.
 //
-// now must be read after the message was received. Were it older than the
-// message, a process that froze in between would promise the leader less time
-// than the leader counts on.
+// now must be read after the message was received. If it were older, a process
+// that was suspended between the two would protect the leader's lease for less
+// time than the leader assumes.
 func (n *Node) Step(now time.Time, m Message) error {
-	n.start(now)
+	n.startTimers(now)
 	if m.To != n.id || m.From == n.id {
 		return nil
 	}
@@ -19,21 +19,21 @@
 		return nil
 	}
 	if m.Term < n.term {
-		n.answerOldTerm(m)
+		n.rejectOldTerm(m)
 		return nil
 	}
 	return n.dispatch(now, m)
 }
 
-// adoptTerm brings the node up to the term of a message, or reports that the
-// message must be dropped.
+// adoptTerm updates the node to the higher term of a message. It returns false if
+// the message must be dropped.
 func (n *Node) adoptTerm(now time.Time, m Message) bool {
 	switch m.Kind {
 	case PreVoteRequest:
 		return true
 	case PreVoteResponse:
 		if !m.Reject {
-			return true // the term asked about, which nobody has yet
+			return true // proposed term of a pre-vote, not adopted by any node yet
 		}
 	case VoteRequest:
 		if !m.Force && n.leaseGuard(now) {
@@ -48,10 +48,10 @@
 	return true
 }
 
-// answerOldTerm tells an outdated sender of the present term. Without it, a
-// leader that the others left behind, and a voter with a higher term which it
-// can't reach an election with, would never learn of each other.
-func (n *Node) answerOldTerm(m Message) {
+// rejectOldTerm sends the current term to a sender with an older term. Without
+// it, a deposed leader and a voter that has a higher term, but can't win an
+// election, would never learn of each other's terms.
+func (n *Node) rejectOldTerm(m Message) {
 	switch m.Kind {
 	case PreVoteRequest:
 		n.send(Message{Kind: PreVoteResponse, To: m.From, Reject: true})
@@ -69,7 +69,7 @@
 	case VoteRequest:
 		n.handleVote(now, m)
 	case PreVoteResponse, VoteResponse:
-		n.handleBallotAnswer(now, m)
+		n.handleVoteResponse(now, m)
 	case AppendRequest:
 		return n.handleAppend(now, m)
 	case SnapshotRequest:
