--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -8,8 +8,8 @@
 	"celeryport/consensus"
 )
 
-// BenchmarkVote measures what one voter computes for one claim and its outcome,
-// with the encoding of the records but without the sync.
+// BenchmarkVote measures the computation of one voter for one claim and its
+// outcome. It includes the encoding of the records but not the sync.
 func BenchmarkVote(b *testing.B) {
 	cfg := DefaultVoterConfig("a")
 	cfg.MaxVotes = 1 << 40
@@ -17,8 +17,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	v.Enter(wallStart, Epoch{Number: 1, Voters: []consensus.ID{"a"}})
-	now, bytes, count := wallStart, 0, 0
+	v.Enter(startTime, Epoch{Number: 1, Voters: []consensus.ID{"a"}})
+	now, bytes, count := startTime, 0, 0
 	b.ReportAllocs()
 	for b.Loop() {
 		count++
--- a/claim/claimant.go
+++ b/claim/claimant.go
@@ -7,17 +7,17 @@
 	"celeryport/consensus"
 )
 
-// State says what came of a claim.
+// State is the state of a claim.
 type State uint8
 
 const (
 	// Asking means that the voters have not decided yet.
 	Asking State = iota
-	// Won means that this holder, and no other, may send, before the deadline.
+	// Won means that this holder, and no other, may send before the deadline.
 	Won
-	// Lost means that another holder has the key, or may have it.
+	// Lost means that another holder has the key or may have it.
 	Lost
-	// Split means that several holders divided the votes until the deadline, and
+	// Split means that several holders divided the votes until the deadline and
 	// none of them could have won.
 	Split
 	// Expired means that the key is older than its lifetime.
@@ -26,107 +26,107 @@
 	NoMajority
 )
 
-// Result is the state of a claim and, when it is Lost, the known outcome.
+// Result is the state of a claim and, if it is Lost, the known outcome.
 type Result struct {
 	State   State
 	Outcome Outcome
 }
 
-// Request sets up a Claimant.
+// Request configures a Claimant.
 type Request struct {
-	Instance consensus.ID // sender of the messages
+	Instance consensus.ID // sender of the claimant's messages
 	Key      Key
 	Holder   Holder
 	Epoch    Epoch
-	Deadline time.Time     // of the caller's request, on the monotonic clock: nothing is sent after it
-	Resend   time.Duration // unanswered voters are asked again so often
-	Backoff  time.Duration // mean wait before a new attempt after split votes
+	Deadline time.Time     // deadline of the caller's request on the monotonic clock; nothing is sent after it
+	Resend   time.Duration // interval at which requests to voters that have not answered are resent
+	Backoff  time.Duration // mean delay before a new attempt after split votes
 	Rand     *rand.Rand
 }
 
-// Claimant drives one claim. It is a pure state machine and not safe for
+// Claimant runs one claim. It is a deterministic state machine and not safe for
 // concurrent use.
 //
-// Invariant: it is Won only while a majority of one epoch holds its vote, and
-// only before its deadline, which is far less than the lifetime of a key. So a
-// process that is frozen and wakes after the voters forgot the key finds its
-// deadline passed. Once it has released an attempt it never sends for it: a new
-// attempt has a holder of its own, so that a late release of the old one can't
-// free it.
+// Invariant: a claimant is Won only while a majority of one epoch holds its vote
+// and its deadline has not passed. The deadline is much shorter than the
+// lifetime of a key. A process that was suspended and resumes after the voters
+// dropped the key therefore finds its deadline passed. Once an attempt is
+// released, the claimant never sends for it. A new attempt has its own holder, so
+// that a delayed release of the previous attempt can't free the new one.
 type Claimant struct {
-	request Request
-	state   State
-	outcome Outcome
-	answers map[consensus.ID]Message
-	asked   int // rounds of requests so far
-	resend  time.Time
-	retryAt time.Time // of the next attempt; zero: none planned
-	settle  settlement
+	request   Request
+	state     State
+	outcome   Outcome
+	responses map[consensus.ID]Message
+	rounds    int // number of request rounds so far
+	resendAt  time.Time
+	retryAt   time.Time // start of the next attempt; zero if none is scheduled
+	delivery  settlement
 }
 
-// maxRounds bounds how often voters are asked. Without a majority the caller
-// hears after so many times Resend that nothing ran, and may try elsewhere; its
+// maxRounds limits the number of request rounds. Without a majority, the caller
+// learns after maxRounds times Resend that nothing ran, and may try elsewhere. Its
 // own deadline may be minutes away.
 const maxRounds = 8
 
-// NewClaimant returns a claimant that has sent nothing yet.
+// NewClaimant returns a claimant that has not sent any messages yet.
 func NewClaimant(r Request) *Claimant {
-	return &Claimant{request: r, answers: map[consensus.ID]Message{}}
+	return &Claimant{request: r, responses: map[consensus.ID]Message{}}
 }
 
-// Start returns the first messages.
-func (c *Claimant) Start(now time.Time) []Message { return c.ask(now) }
+// Start requests the votes and returns the messages to send.
+func (c *Claimant) Start(now time.Time) []Message { return c.requestVotes(now) }
 
-// Result returns what came of the claim so far.
+// Result returns the current state of the claim.
 func (c *Claimant) Result() Result { return Result{c.state, c.outcome} }
 
-// MaySend reports whether the holder may send at now. It must be asked right
-// before sending, with a clock read after any wait.
+// MaySend reports whether the holder may send at now. It must be called
+// immediately before sending, with a clock read after any wait.
 func (c *Claimant) MaySend(now time.Time) bool {
 	return c.state == Won && now.Before(c.request.Deadline)
 }
 
-// Epoch returns the number of the epoch that the claimant counts votes of.
+// Epoch returns the number of the epoch whose votes the claimant counts.
 func (c *Claimant) Epoch() uint64 { return c.request.Epoch.Number }
 
-// Step takes in a voter's answer.
+// Step processes a voter's response and returns the messages to send.
 func (c *Claimant) Step(now time.Time, m Message) []Message {
 	if m.Key != c.request.Key || m.To != c.request.Instance {
 		return nil
 	}
 	switch m.Kind {
 	case VoteResponse:
-		return c.count(now, m)
+		return c.handleVoteResponse(now, m)
 	case SettleResponse:
-		c.settle.confirm(m.From, m.Holder == c.request.Holder)
+		c.delivery.confirm(m.From, m.Holder == c.request.Holder)
 	}
 	return nil
 }
 
-func (c *Claimant) count(now time.Time, m Message) []Message {
+func (c *Claimant) handleVoteResponse(now time.Time, m Message) []Message {
 	if m.Holder != c.request.Holder || c.state != Asking || !c.retryAt.IsZero() {
-		if m.Answer == Granted && c.givenUp(m.Holder) {
-			// The vote was given after the release, which it must have overtaken.
+		if m.Answer == Granted && c.abandoned(m.Holder) {
+			// The voter granted the vote after the release was sent. Release it again.
 			return []Message{c.message(SettleRequest, m.From, m.Holder, Outcome{Kind: Released})}
 		}
 		return nil
 	}
 	if m.Answer == Held && m.Outcome.Kind == Done {
-		return c.end(now, Lost, m.Outcome)
+		return c.finish(now, Lost, m.Outcome)
 	}
 	if m.Epoch != c.request.Epoch.Number || !c.request.Epoch.Has(m.From) {
-		return nil // of no use; it is asked again after Resend
+		return nil // does not count; the voter is asked again after Resend
 	}
 	if !now.Before(c.request.Deadline) {
 		return c.timeout(now)
 	}
-	c.answers[m.From] = m
+	c.responses[m.From] = m
 	return c.decide(now)
 }
 
-// givenUp reports whether a holder is an attempt of this claim that will never
+// abandoned reports whether a holder is an attempt of this claim that will never
 // send.
-func (c *Claimant) givenUp(h Holder) bool {
+func (c *Claimant) abandoned(h Holder) bool {
 	if h == c.request.Holder {
 		return c.state != Asking && c.state != Won || !c.retryAt.IsZero()
 	}
@@ -134,10 +134,10 @@
 	return h == c.request.Holder
 }
 
-// Tick lets time pass.
+// Tick processes timers that have expired and returns the messages to send.
 func (c *Claimant) Tick(now time.Time) []Message {
 	if c.state != Asking {
-		return c.settle.tick(c, now)
+		return c.delivery.tick(c, now)
 	}
 	if !now.Before(c.request.Deadline) {
 		return c.timeout(now)
@@ -145,29 +145,29 @@
 	if !c.retryAt.IsZero() && !now.Before(c.retryAt) {
 		c.retryAt = time.Time{}
 		c.request.Holder.Attempt++
-		clear(c.answers)
-		return c.ask(now)
+		clear(c.responses)
+		return c.requestVotes(now)
 	}
-	if !c.retryAt.IsZero() || now.Before(c.resend) {
+	if !c.retryAt.IsZero() || now.Before(c.resendAt) {
 		return nil
 	}
-	if t := c.tally(); t.held() {
-		// A voter that does not answer could decide between the holders. Waiting
-		// for it would block the key for everyone.
-		return c.retryLater(now)
+	if t := c.tally(); t.heldByOther() {
+		// A voter that does not answer could decide between the holders.
+		// Waiting for it would block the key for all of them.
+		return c.scheduleRetry(now)
 	}
-	if c.asked >= maxRounds {
+	if c.rounds >= maxRounds {
 		return c.timeout(now)
 	}
-	return c.ask(now)
+	return c.requestVotes(now)
 }
 
-// NextTick returns when Tick must be called next; zero when there is no need.
+// NextTick returns the time of the next required Tick, or zero if none is needed.
 func (c *Claimant) NextTick() time.Time {
 	if c.state != Asking {
-		return c.settle.next
+		return c.delivery.next
 	}
-	next := c.resend
+	next := c.resendAt
 	if !c.retryAt.IsZero() {
 		next = c.retryAt
 	}
@@ -177,33 +177,33 @@
 	return next
 }
 
-// Reconfigure goes on with another set of voters. Votes of different epochs
-// don't add up, so the attempt is released and a new one begins.
+// Reconfigure continues the claim with a new set of voters. Votes of different
+// epochs are not counted together, so the attempt is released and a new one starts.
 func (c *Claimant) Reconfigure(now time.Time, e Epoch) []Message {
 	if e.Number <= c.request.Epoch.Number {
 		return nil
 	}
 	if c.state != Asking {
-		c.request.Epoch = e // outcomes go to the new voters too
+		c.request.Epoch = e // outcomes are sent to the new voters too
 		return nil
 	}
 	released := c.release()
 	c.request.Epoch = e
-	// The new voters may have copied the vote that the old ones are freeing.
+	// The new voters may have copied the vote that the old voters release.
 	released = append(released, c.release()...)
 	c.request.Holder.Attempt++
 	c.retryAt = time.Time{}
-	clear(c.answers)
-	return append(released, c.ask(now)...)
+	clear(c.responses)
+	return append(released, c.requestVotes(now)...)
 }
 
-// ask requests the votes of all voters that have not granted theirs.
-func (c *Claimant) ask(now time.Time) []Message {
-	c.asked++
-	c.resend = now.Add(c.request.Resend)
+// requestVotes sends vote requests to all voters that have not granted their vote.
+func (c *Claimant) requestVotes(now time.Time) []Message {
+	c.rounds++
+	c.resendAt = now.Add(c.request.Resend)
 	var messages []Message
 	for _, id := range c.request.Epoch.Voters {
-		if c.answers[id].Answer != Granted {
+		if c.responses[id].Answer != Granted {
 			messages = append(messages, c.message(VoteRequest, id, c.request.Holder, Outcome{}))
 		}
 	}
--- a/claim/codec.go
+++ b/claim/codec.go
@@ -6,18 +6,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The limits of what comes from outside.
+// Limits on the content of received messages.
 const (
-	MaxKeyLength     = 256
-	maxVotesPerCopy  = 1 << 16
-	maxHolderSection = 256
+	MaxKeyLength         = 256
+	maxVotesPerCopy      = 1 << 16
+	maxHolderFieldLength = 256
 )
 
-// EncodeMessage returns the wire form of a message.
+// EncodeMessage returns the wire encoding of a message.
 func EncodeMessage(m *Message) ([]byte, error) { return json.Marshal(m) }
 
-// DecodeMessage reads the wire form of a message and refuses one that nobody
-// sends.
+// DecodeMessage decodes and validates a message. It rejects messages that no
+// claimant or voter sends.
 func DecodeMessage(data []byte) (Message, error) {
 	var m Message
 	if err := json.Unmarshal(data, &m); err != nil {
@@ -37,7 +37,7 @@
 		return errors.New("no sender or no recipient")
 	case len(m.Outcome.Answer) > MaxAnswer || len(m.Votes) > maxVotesPerCopy:
 		return errors.New("answer or copy too large")
-	case m.Bucket < 0 || m.Bucket >= buckets:
+	case m.Bucket < 0 || m.Bucket >= bucketCount:
 		return errors.Newf("bucket %d", m.Bucket)
 	case m.Kind != CopyResponse && len(m.Votes) > 0:
 		return errors.New("votes outside a copy")
@@ -58,12 +58,12 @@
 	return nil
 }
 
-// check refuses the zero holder, which stands for one that is not known.
+// check rejects the zero holder, which represents an unknown holder.
 func (h *Holder) check() error {
 	if h.Instance == "" || h.Request == "" {
 		return errors.New("holder without instance or request")
 	}
-	if len(h.Instance) > maxHolderSection || len(h.Request) > maxHolderSection {
+	if len(h.Instance) > maxHolderFieldLength || len(h.Request) > maxHolderFieldLength {
 		return errors.New("holder too long")
 	}
 	return nil
--- a/claim/copier.go
+++ b/claim/copier.go
@@ -7,36 +7,36 @@
 	"celeryport/consensus"
 )
 
-// copier brings a voter's votes up to a new epoch.
+// copier copies the votes of previous voters to a voter that enters a new epoch.
 //
-// What goes wrong without it: a claim is won at voters A and B of A, B, C. B is
-// replaced by D, whose votes are empty; C and D are a majority of A, C, D and
-// give the same key to another holder: it runs twice.
+// It prevents the following failure: a claim is won with the votes of A and B out
+// of A, B and C. B is replaced by D, which has no votes. C and D are a majority of
+// A, C and D, and grant the same key to another holder. The request runs twice.
 //
-// So a voter that enters an epoch stops voting in the earlier ones, and votes in
-// the new one only after it has copied the votes of enough previous voters to
-// share one with each of their majorities. Each of these must have entered the
-// epoch itself, so it gives no vote in the earlier one after the copy, and must
-// be complete up to the previous epoch. One voter that is complete in the epoch
-// already will do alone.
+// A voter that enters an epoch therefore stops voting in earlier epochs. It votes
+// in the new one only after it has copied the votes of enough previous voters to
+// have one in common with each majority of them. Each voter that it copies from
+// must have entered the epoch itself, so that it grants no vote in an earlier
+// epoch after the copy, and must be complete up to the previous epoch. A single
+// voter that is already complete in the new epoch is sufficient.
 //
-// Epochs are completed in order, so that two quick changes don't leave everyone
-// waiting for each other.
+// Epochs are completed in order, so that two changes in quick succession do not
+// leave the voters waiting for each other.
 type copier struct {
-	target   Epoch                   // being completed; Number zero: none
-	from     map[consensus.ID]*parts // what was received of each voter
-	finished map[consensus.ID]uint64 // voters copied whole, with how far they were complete at least
+	target   Epoch                         // epoch being completed; Number is zero if there is none
+	received map[consensus.ID]*partialCopy // buckets received from each voter
+	copied   map[consensus.ID]uint64       // voters copied completely, with the epoch up to which each was complete
 }
 
-// parts are the buckets received from one voter. complete is the lowest epoch
-// up to which the voter was complete while it sent them.
-type parts struct {
-	got      [buckets]bool
+// partialCopy records the buckets received from one voter. complete is the lowest
+// epoch up to which that voter was complete while it sent them.
+type partialCopy struct {
+	buckets  [bucketCount]bool
 	count    int
 	complete uint64
 }
 
-// epoch returns the epoch that the voter entered last.
+// epoch returns the epoch that the voter entered most recently.
 func (v *Voter) epoch() Epoch {
 	if len(v.state.Entered) == 0 {
 		return Epoch{}
@@ -44,15 +44,15 @@
 	return v.state.Entered[len(v.state.Entered)-1]
 }
 
-// mayVote reports whether the voter belongs to its epoch and knows every claim
-// of the earlier ones.
-func (v *Voter) mayVote() bool {
+// canVote reports whether the voter is a member of its current epoch and knows
+// every claim of earlier epochs.
+func (v *Voter) canVote() bool {
 	e := v.epoch()
 	return e.Number > 0 && v.state.Complete == e.Number && e.Has(v.cfg.ID)
 }
 
-// Enter tells the voter of an epoch. Epochs must come in order; one that the
-// voter knows already is ignored.
+// Enter starts a new epoch on the voter. Epochs must be entered in order; an epoch
+// that the voter has already entered is ignored.
 func (v *Voter) Enter(now time.Time, e Epoch) {
 	now = now.Round(0)
 	if e.Number <= v.epoch().Number {
@@ -61,13 +61,13 @@
 	v.state.Entered = append(slices.Clone(v.state.Entered), e)
 	v.state.Since = now
 	if len(e.Previous) == 0 && !e.Reset && e.Has(v.cfg.ID) {
-		v.state.Complete = e.Number // the first epoch: nothing was claimed before
+		v.state.Complete = e.Number // the first epoch: there are no earlier claims
 	}
 	v.storeState()
 	before := v.copier.target.Number
-	v.copier.begin(v)
+	v.copier.selectTarget(v)
 	if v.copier.target.Number != before {
-		v.copier.ask(v) // else it has asked already
+		v.copier.requestCopies(v) // otherwise the requests were already sent
 	}
 }
 
@@ -80,8 +80,8 @@
 	v.records = append(v.records, Record{Epoch: &state})
 }
 
-// begin looks for the first epoch that is not complete.
-func (c *copier) begin(v *Voter) {
+// selectTarget selects the first epoch that is not complete.
+func (c *copier) selectTarget(v *Voter) {
 	next := Epoch{}
 	for _, e := range v.state.Entered {
 		if e.Number > v.state.Complete && !e.Reset {
@@ -89,92 +89,94 @@
 			break
 		}
 	}
-	if c.from == nil || next.Number != c.target.Number {
-		*c = copier{target: next, from: map[consensus.ID]*parts{}, finished: map[consensus.ID]uint64{}}
+	if c.received == nil || next.Number != c.target.Number {
+		*c = copier{target: next, received: map[consensus.ID]*partialCopy{}, copied: map[consensus.ID]uint64{}}
 	}
 }
 
-// ask requests a part that is missing from every voter that may have it. It is
-// called again from time to time, because messages get lost.
-func (c *copier) ask(v *Voter) {
+// requestCopies requests the next missing bucket from every voter that may have
+// it. It is called repeatedly because messages may be lost.
+func (c *copier) requestCopies(v *Voter) {
 	if c.target.Number == 0 {
 		return
 	}
 	for _, id := range c.sources(v) {
-		if _, done := c.finished[id]; id != v.cfg.ID && !done {
-			c.askNext(v, id)
+		if _, done := c.copied[id]; id != v.cfg.ID && !done {
+			c.requestNextBucket(v, id)
 		}
 	}
-	c.decide(v)
+	c.completeTarget(v)
 }
 
-// askNext requests one part of a voter's votes. One at a time: a full table has
-// some three megabytes in each, and all at once would take a voter's memory.
-func (c *copier) askNext(v *Voter, id consensus.ID) {
+// requestNextBucket requests one bucket of a voter's votes. Buckets are requested
+// one at a time: with a full table each is about 3 MB, and all at once would
+// exhaust a voter's memory.
+func (c *copier) requestNextBucket(v *Voter, id consensus.ID) {
 	bucket := 0
-	if p := c.from[id]; p != nil {
-		bucket = slices.Index(p.got[:], false)
+	if p := c.received[id]; p != nil {
+		bucket = slices.Index(p.buckets[:], false)
 	}
 	v.messages = append(v.messages, Message{
 		Kind: CopyRequest, From: v.cfg.ID, To: id, Epoch: c.target.Number, Bucket: bucket,
 	})
 }
 
-// sources returns the previous voters, and those of the newest epoch, which may
-// be complete already.
+// sources returns the previous voters and those of the target and newest epochs,
+// which may already be complete.
 func (c *copier) sources(v *Voter) []consensus.ID {
 	ids := slices.Concat(c.target.Previous, c.target.Voters, v.epoch().Voters)
 	slices.Sort(ids)
 	return slices.Compact(ids)
 }
 
-// sendCopy answers with one part, once this voter has entered the epoch itself.
-func (v *Voter) sendCopy(m Message) {
-	if v.epoch().Number < m.Epoch || m.Bucket < 0 || m.Bucket >= buckets {
+// handleCopyRequest responds with one bucket if this voter has entered the epoch
+// itself.
+func (v *Voter) handleCopyRequest(m Message) {
+	if v.epoch().Number < m.Epoch || m.Bucket < 0 || m.Bucket >= bucketCount {
 		return
 	}
 	r := v.reply(m, CopyResponse)
 	r.Epoch, r.Complete, r.Bucket = m.Epoch, v.state.Complete, m.Bucket
-	r.Votes, r.Forgotten = v.table.bucket(m.Bucket), v.state.Forgotten
+	r.Votes, r.DroppedBefore = v.table.bucket(m.Bucket), v.state.DroppedBefore
 	for i := range r.Votes {
-		r.Votes[i].Outcome.Answer = nil // the outcome counts; the bytes would be many
+		r.Votes[i].Outcome.Answer = nil // the outcome is sufficient; the answers would be large
 	}
 	v.messages = append(v.messages, r)
 }
 
-func (c *copier) receive(v *Voter, now time.Time, m Message) {
-	if m.Epoch != c.target.Number || c.target.Number == 0 || m.Bucket < 0 || m.Bucket >= buckets {
+func (c *copier) handleCopyResponse(v *Voter, now time.Time, m Message) {
+	if m.Epoch != c.target.Number || c.target.Number == 0 || m.Bucket < 0 || m.Bucket >= bucketCount {
 		return
 	}
 	if m.Complete < c.target.PreviousNumber {
-		return // it does not know the earlier epochs itself yet
+		return // the sender is not complete up to the previous epoch
 	}
-	p := c.from[m.From]
+	p := c.received[m.From]
 	if p == nil {
-		p = &parts{complete: m.Complete}
-		c.from[m.From] = p
+		p = &partialCopy{complete: m.Complete}
+		c.received[m.From] = p
 	}
-	if p.got[m.Bucket] {
+	if p.buckets[m.Bucket] {
 		return
 	}
-	p.got[m.Bucket] = true
+	p.buckets[m.Bucket] = true
 	p.count++
 	p.complete = min(p.complete, m.Complete)
-	v.forget(m.Forgotten)
+	v.recordDropped(m.DroppedBefore)
 	for _, vote := range m.Votes {
-		v.adopt(now, vote)
+		v.mergeVote(now, vote)
 	}
-	if p.count < buckets {
-		c.askNext(v, m.From)
+	if p.count < bucketCount {
+		c.requestNextBucket(v, m.From)
 		return
 	}
-	c.finished[m.From] = p.complete
-	c.decide(v)
+	c.copied[m.From] = p.complete
+	c.completeTarget(v)
 }
 
-// adopt merges another voter's vote into the table, the limit notwithstanding:
-// a voter that leaves one out could give the key away again.
-func (v *Voter) adopt(now time.Time, vote Vote) {
+// mergeVote merges another voter's vote into the table, even if the table is full: a
+// voter that omits a vote could grant the key to another holder.
+func (v *Voter) mergeVote(now time.Time, vote Vote) {
 	if vote.expired(now, v.cfg.Lifetime) {
 		return
 	}
@@ -187,43 +189,43 @@
 	}
 }
 
-// decide completes the epoch once enough voters were copied.
-func (c *copier) decide(v *Voter) {
-	if c.target.Number == 0 || !c.enough(v) {
+// completeTarget completes the target epoch once enough voters were copied.
+func (c *copier) completeTarget(v *Voter) {
+	if c.target.Number == 0 || !c.copiedEnough(v) {
 		return
 	}
 	v.state.Complete = c.target.Number
 	v.storeState()
-	c.begin(v)
-	c.ask(v)
+	c.selectTarget(v)
+	c.requestCopies(v)
 }
 
-func (c *copier) enough(v *Voter) bool {
-	known := 0
+func (c *copier) copiedEnough(v *Voter) bool {
+	available := 0
 	for _, id := range c.target.Previous {
-		if _, ok := c.finished[id]; ok {
-			known++
+		if _, ok := c.copied[id]; ok {
+			available++
 		}
 		if id == v.cfg.ID && v.state.Complete >= c.target.PreviousNumber {
-			known++ // its own votes
+			available++ // this voter's own votes
 		}
 	}
-	for _, complete := range c.finished {
+	for _, complete := range c.copied {
 		if complete >= c.target.Number {
 			return true
 		}
 	}
-	return len(c.target.Previous) > 0 && known >= c.target.readQuorum()
+	return len(c.target.Previous) > 0 && available >= c.target.readQuorum()
 }
 
-// finishReset completes an epoch after a disaster, when no key of before can be
-// fresh any more.
-func (v *Voter) finishReset(now time.Time) {
+// completeReset completes an epoch that followed a loss of all voters, once every
+// key claimed before must have expired.
+func (v *Voter) completeReset(now time.Time) {
 	e := v.epoch()
 	if !e.Reset || v.state.Complete >= e.Number || now.Sub(v.state.Since) <= v.cfg.Lifetime+v.cfg.MaxAhead {
 		return
 	}
 	v.state.Complete = e.Number
 	v.storeState()
-	v.copier.begin(v)
+	v.copier.selectTarget(v)
 }
--- a/claim/decide.go
+++ b/claim/decide.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// maxAttempts bounds how often a claimant starts again after split votes, so
-// that its caller hears of it at once and not at the deadline.
+// maxAttempts limits the number of attempts after split votes, so that the caller
+// is informed promptly and not only at its deadline.
 const maxAttempts = 4
 
-// tally counts the answers of an epoch's voters.
+// tally counts the responses of an epoch's voters.
 type tally struct {
-	granted, refused, open int // open: no answer, or abstained
-	unknown                int // held, by whom is not known
-	others                 []otherHolder
+	granted, refused, undecided int // undecided: no answer, or abstained
+	unknown                     int // held by an unknown holder
+	otherHolders                []otherHolder
 }
 
 type otherHolder struct {
@@ -21,10 +21,10 @@
 func (c *Claimant) tally() tally {
 	var t tally
 	for _, id := range c.request.Epoch.Voters {
-		m, answered := c.answers[id]
+		m, answered := c.responses[id]
 		switch {
 		case !answered || m.Answer == Abstained:
-			t.open++
+			t.undecided++
 		case m.Answer == Granted:
 			t.granted++
 		case m.Answer == Refused:
@@ -39,52 +39,53 @@
 }
 
 func (t *tally) add(h Holder) {
-	for i := range t.others {
-		if t.others[i].holder == h {
-			t.others[i].votes++
+	for i := range t.otherHolders {
+		if t.otherHolders[i].holder == h {
+			t.otherHolders[i].votes++
 			return
 		}
 	}
-	t.others = append(t.others, otherHolder{h, 1})
+	t.otherHolders = append(t.otherHolders, otherHolder{h, 1})
 }
 
-// best returns the most votes that any other holder is known to have.
-func (t *tally) best() int {
+// mostVotes returns the highest number of votes known to belong to a single other
+// holder.
+func (t *tally) mostVotes() int {
 	most := 0
-	for _, o := range t.others {
+	for _, o := range t.otherHolders {
 		most = max(most, o.votes)
 	}
 	return most
 }
 
-// held reports whether any voter's vote belongs to another holder.
-func (t *tally) held() bool { return t.best() > 0 || t.unknown > 0 }
+// heldByOther reports whether any voter's vote belongs to another holder.
+func (t *tally) heldByOther() bool { return t.mostVotes() > 0 || t.unknown > 0 }
 
-// decide ends the attempt once the answers allow it.
+// decide ends the attempt once the responses determine the result.
 func (c *Claimant) decide(now time.Time) []Message {
 	t, majority := c.tally(), c.request.Epoch.Majority()
 	switch {
 	case t.granted >= majority:
 		c.state = Won
 		return nil
-	case t.refused >= majority || t.refused > 0 && t.granted+t.open < majority && t.best() == 0:
-		return c.end(now, Expired, Outcome{})
-	case t.best()+t.unknown >= majority:
-		return c.end(now, Lost, Outcome{})
-	case t.granted+t.open < majority && (t.open == 0 || !c.lastAttempt()):
-		// In the last attempt, the answers that are open decide what the caller
-		// is told; Tick ends it.
-		return c.retryLater(now)
+	case t.refused >= majority || t.refused > 0 && t.granted+t.undecided < majority && t.mostVotes() == 0:
+		return c.finish(now, Expired, Outcome{})
+	case t.mostVotes()+t.unknown >= majority:
+		return c.finish(now, Lost, Outcome{})
+	case t.granted+t.undecided < majority && (t.undecided == 0 || !c.lastAttempt()):
+		// In the last attempt, wait for the remaining responses, because they
+		// determine the result reported to the caller. Tick ends the attempt.
+		return c.scheduleRetry(now)
 	}
 	return nil
 }
 
 func (c *Claimant) lastAttempt() bool { return c.request.Holder.Attempt+1 >= maxAttempts }
 
-// retryLater gives the votes back and plans another attempt, so that holders
-// that divided the votes don't block the key for each other. The wait is drawn
-// at random; else they would meet again.
-func (c *Claimant) retryLater(now time.Time) []Message {
+// scheduleRetry releases the votes and schedules another attempt, so that holders
+// that divided the votes do not block the key for each other. The delay is random
+// so that their next attempts do not collide again.
+func (c *Claimant) scheduleRetry(now time.Time) []Message {
 	if c.lastAttempt() {
 		return c.timeout(now)
 	}
@@ -93,30 +94,31 @@
 	return c.release()
 }
 
-// timeout ends the claim at its deadline or after its last attempt. Split is said only when no other
-// holder can have a majority, counting every voter whose vote is not known as
-// its own; otherwise the key may run elsewhere.
+// timeout ends the claim at its deadline or after its last attempt. The result is
+// Split only if no other holder can have a majority, even if it has every vote
+// that is not known. Otherwise the request may run elsewhere and the result is
+// Lost.
 func (c *Claimant) timeout(now time.Time) []Message {
 	t, majority := c.tally(), c.request.Epoch.Majority()
 	switch {
-	case t.held() && t.best()+t.unknown+t.open+t.refused >= majority:
-		return c.end(now, Lost, Outcome{})
-	case t.held():
-		return c.end(now, Split, Outcome{})
+	case t.heldByOther() && t.mostVotes()+t.unknown+t.undecided+t.refused >= majority:
+		return c.finish(now, Lost, Outcome{})
+	case t.heldByOther():
+		return c.finish(now, Split, Outcome{})
 	}
-	return c.end(now, NoMajority, Outcome{})
+	return c.finish(now, NoMajority, Outcome{})
 }
 
-// end gives up the claim and frees its votes.
-func (c *Claimant) end(now time.Time, s State, o Outcome) []Message {
+// finish ends the claim and releases its votes.
+func (c *Claimant) finish(now time.Time, s State, o Outcome) []Message {
 	c.state, c.outcome = s, o
-	c.settle = settlement{outcome: Outcome{Kind: Released}, left: releaseAttempts}
-	return c.settle.tick(c, now)
+	c.delivery = settlement{outcome: Outcome{Kind: Released}, attemptsLeft: releaseAttempts}
+	return c.delivery.tick(c, now)
 }
 
-// release frees the votes of an attempt that has sent nothing and never will. It
-// goes to every voter, because one may have granted its vote in an answer that
-// is still on its way.
+// release releases the votes of an attempt that has sent nothing and never will.
+// It is sent to every voter, because a voter may have granted its vote in a
+// response that has not arrived yet.
 func (c *Claimant) release() []Message {
 	var messages []Message
 	for _, id := range c.request.Epoch.Voters {
--- a/claim/fuzz_test.go
+++ b/claim/fuzz_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// FuzzDecodeMessage feeds a voter and a claimant whatever the decoder lets
-// through. They must not panic, and the wire form must not lose anything.
+// FuzzDecodeMessage passes every message that the decoder accepts to a voter and a
+// claimant. They must not panic, and encoding the message again must not lose data.
 func FuzzDecodeMessage(f *testing.F) {
 	for _, m := range []Message{
 		{Kind: VoteRequest, From: "e", To: "a", Epoch: 1, Key: Key{"o", "k"}, Holder: Holder{Instance: "e", Request: "1"}},
 		{Kind: VoteResponse, From: "a", To: "e", Epoch: 1, Key: Key{"o", "k"}, Holder: Holder{Instance: "e", Request: "1"}, Answer: Held, Outcome: Outcome{Kind: Done, Answer: []byte("x")}},
 		{Kind: SettleRequest, From: "e", To: "a", Epoch: 1, Key: Key{"o", "k"}, Holder: Holder{Instance: "e", Request: "1"}, Outcome: Outcome{Kind: Released}},
 		{Kind: CopyRequest, From: "b", To: "a", Epoch: 1, Bucket: 3},
-		{Kind: CopyResponse, From: "b", To: "a", Epoch: 2, Complete: 1, Votes: []Vote{{Key: Key{"o", "k"}, At: wallStart}}},
+		{Kind: CopyResponse, From: "b", To: "a", Epoch: 2, Complete: 1, Votes: []Vote{{Key: Key{"o", "k"}, At: startTime}}},
 	} {
 		data, err := EncodeMessage(&m)
 		if err != nil {
@@ -32,22 +32,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if back, err := DecodeMessage(again); err != nil || !reflect.DeepEqual(normal(back), normal(m)) {
+		if back, err := DecodeMessage(again); err != nil || !reflect.DeepEqual(normalise(back), normalise(m)) {
 			t.Fatalf("%+v became %+v: %v", m, back, err)
 		}
 		w := newNetwork(t, 1, "a", "b", "c")
-		w.change("a", "c")
+		w.changeVoters("a", "c")
 		w.enterAll(w.host("a"))
 		c := w.claim("k")
 		for range 2 {
-			w.host("a").voter.Step(wallStart, m)
-			c.claimant.Step(wallStart.Add(time.Second), m)
+			w.host("a").voter.Step(startTime, m)
+			c.claimant.Step(startTime.Add(time.Second), m)
 		}
 	})
 }
 
-// normal drops the difference between empty and missing, which means nothing.
-func normal(m Message) Message {
+// normalise removes the difference between empty and missing fields, which has no
+// meaning.
+func normalise(m Message) Message {
 	if len(m.Votes) == 0 {
 		m.Votes = nil
 	}
--- a/claim/key.go
+++ b/claim/key.go
@@ -6,11 +6,12 @@
 	"github.com/google/uuid"
 )
 
-// version7 is the version of UUIDs that carry their time.
+// version7 is the version of UUIDs that contain a timestamp.
 const version7 = 7
 
-// madeAt returns the time that a UUIDv7 key carries. Other keys are opaque.
-func (k Key) madeAt() (time.Time, bool) {
+// createdAt returns the timestamp of a UUIDv7 key. Other keys are opaque and have
+// no timestamp.
+func (k Key) createdAt() (time.Time, bool) {
 	id, err := uuid.Parse(k.Key)
 	if err != nil || id.Version() != version7 || id.Variant() != uuid.RFC4122 {
 		return time.Time{}, false
--- a/claim/message.go
+++ b/claim/message.go
@@ -6,49 +6,50 @@
 	"celeryport/consensus"
 )
 
-// MessageKind is the kind of a Message.
+// MessageKind is the type of a Message.
 type MessageKind uint8
 
-// The messages between claimants and voters, and between two voters.
+// Message kinds exchanged between claimants and voters, and between voters.
 const (
 	VoteRequest MessageKind = iota
 	VoteResponse
-	SettleRequest // stores an outcome; Released frees the key
+	SettleRequest // stores an outcome; Released makes the key available again
 	SettleResponse
-	CopyRequest // a voter that enters an epoch asks for a part of another's votes
+	CopyRequest // sent by a voter that enters an epoch, to copy a bucket of another voter's votes
 	CopyResponse
 )
 
-// Answer is what a voter says to a VoteRequest.
+// Answer is a voter's response to a VoteRequest.
 type Answer uint8
 
 const (
-	// Abstained means that the voter may not vote now, so its vote counts for nobody.
+	// Abstained means that the voter can't vote now; its vote counts for no holder.
 	Abstained Answer = iota
-	// Granted means that the holder has this voter's vote.
+	// Granted means that the voter has granted its vote to the holder.
 	Granted
-	// Held means that another holder has it, or that the outcome is known.
+	// Held means that another holder has the vote, or that the outcome is known.
 	Held
-	// Refused means that the key is too old, or from the future.
+	// Refused means that the key is too old or its timestamp is too far in the
+	// future.
 	Refused
 )
 
-// Message travels between a claimant and a voter. Messages may be lost, doubled,
-// late and reordered without harm.
+// Message is sent between a claimant and a voter, or between two voters. The
+// protocol tolerates lost, duplicated, delayed and reordered messages.
 type Message struct {
 	Kind    MessageKind  `json:"kind"`
-	From    consensus.ID `json:"from"` // instance of a claimant, or voter
+	From    consensus.ID `json:"from"` // instance of the claimant, or a voter
 	To      consensus.ID `json:"to"`
-	Epoch   uint64       `json:"epoch"` // of the voters, as the sender knows it
+	Epoch   uint64       `json:"epoch"` // epoch of the voters as known to the sender
 	Key     Key          `json:"key"`
 	Holder  Holder       `json:"holder"`
 	Answer  Answer       `json:"answer,omitempty"`
-	Other   Holder       `json:"other,omitzero"` // on Held: who has the vote; zero when unknown
+	Other   Holder       `json:"other,omitzero"` // on Held: holder of the vote; zero if unknown
 	Outcome Outcome      `json:"outcome,omitzero"`
 
 	Complete uint64 `json:"complete,omitempty"` // on CopyResponse: epoch up to which the votes are complete
-	Bucket   int    `json:"bucket,omitempty"`   // part of the table that is copied
+	Bucket   int    `json:"bucket,omitempty"`   // bucket of the table that is copied
 	Votes    []Vote `json:"votes,omitempty"`
 
-	Forgotten time.Time `json:"forgotten,omitzero"` // on CopyResponse: keys made before may be missing
+	DroppedBefore time.Time `json:"forgotten,omitzero"` // on CopyResponse: votes of keys created before this time may be missing
 }
--- a/claim/network_test.go
+++ b/claim/network_test.go
@@ -12,50 +12,50 @@
 	"celeryport/consensus"
 )
 
-type fataler interface {
+type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
 const testLifetime = time.Hour
 
-var wallStart = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-// host runs one voter on a disk of its own.
+// host runs one voter with its own simulated disk.
 type host struct {
 	id    consensus.ID
 	voter *Voter
 	disk  []Record
 	up    bool
-	skew  time.Duration // of its wall clock
+	skew  time.Duration // offset of its wall clock
 }
 
-// caller is one claimant with what it did.
+// caller runs one claimant and records what it did.
 type caller struct {
-	id       consensus.ID
-	claimant *Claimant
-	frozen   bool
-	inbox    []Message
-	sent     bool // it sent its request to the upstream
-	proved   bool // the upstream proved that it did not run it
+	id           consensus.ID
+	claimant     *Claimant
+	suspended    bool
+	inbox        []Message
+	sent         bool // the request was sent to the upstream
+	provedNotRun bool // the upstream proved that it did not run the request
 }
 
-// network carries messages between claimants and voters on virtual time and
-// counts how often each key is sent.
+// network simulates claimants, voters and the messages between them in virtual
+// time. It counts how often each key is sent.
 type network struct {
-	t       fataler
-	rng     *rand.Rand
-	now     time.Time
-	hosts   []*host
-	callers []*caller
-	wire    []Message
-	epochs  []Epoch
-	running map[Key]int // requests that were sent and not proved to have not run
-	crashes bool        // voters crash between a step and its sync
+	t          testingT
+	rng        *rand.Rand
+	now        time.Time
+	hosts      []*host
+	callers    []*caller
+	inFlight   []Message
+	epochs     []Epoch
+	sendCounts map[Key]int // number of sends per key, without those proved not to have run
+	crashes    bool        // voters crash between a step and the sync that follows it
 }
 
-func newNetwork(t fataler, seed uint64, ids ...consensus.ID) *network {
-	w := &network{t: t, rng: rand.New(rand.NewPCG(seed, 5)), now: wallStart, running: map[Key]int{}}
+func newNetwork(t testingT, seed uint64, ids ...consensus.ID) *network {
+	w := &network{t: t, rng: rand.New(rand.NewPCG(seed, 5)), now: startTime, sendCounts: map[Key]int{}}
 	w.epochs = []Epoch{{Number: 1, Voters: ids}}
 	for _, id := range ids {
 		w.addHost(id)
@@ -102,8 +102,9 @@
 	return nil
 }
 
-// change replaces the voters; every host hears of it when enterAll is called.
-func (w *network) change(ids ...consensus.ID) {
+// changeVoters replaces the voters. Each host enters the new epoch when enterAll
+// is called for it.
+func (w *network) changeVoters(ids ...consensus.ID) {
 	last := w.epochs[len(w.epochs)-1]
 	w.epochs = append(w.epochs, Epoch{
 		Number: last.Number + 1, Voters: ids, PreviousNumber: last.Number, Previous: last.Voters,
@@ -114,30 +115,30 @@
 	for _, e := range w.epochs {
 		h.voter.Enter(w.now.Add(h.skew), e)
 	}
-	w.pump(h)
+	w.processReady(h)
 }
 
-// pump syncs and then sends.
-func (w *network) pump(h *host) {
+// processReady syncs a voter's records and then sends its messages.
+func (w *network) processReady(h *host) {
 	if !h.up || !h.voter.HasReady() {
 		return
 	}
 	b := h.voter.Ready()
 	h.disk = append(h.disk, b.Records...)
-	w.wire = append(w.wire, b.Messages...)
+	w.inFlight = append(w.inFlight, b.Messages...)
 }
 
-// crash loses what was not synced.
+// crash stops a host, which loses its unsynced state.
 func (w *network) crash(h *host) { h.up = false }
 
-// deliver takes the message at place i off the wire, or a copy of it.
+// deliver delivers the message at index i, and removes it unless keep is set.
 func (w *network) deliver(i int, keep bool) {
-	m := w.wire[i]
+	m := w.inFlight[i]
 	if !keep {
-		w.wire = slices.Delete(w.wire, i, i+1)
+		w.inFlight = slices.Delete(w.inFlight, i, i+1)
 	}
 	if w.rng.IntN(8) == 0 {
-		m = w.overTheWire(m)
+		m = w.encodeAndDecode(m)
 	}
 	if h := w.host(m.To); h != nil {
 		if h.up {
@@ -145,7 +146,7 @@
 			if w.crashes && w.rng.IntN(30) == 0 {
 				w.crash(h) // before the sync
 			}
-			w.pump(h)
+			w.processReady(h)
 		}
 		return
 	}
@@ -153,15 +154,15 @@
 		if c.id != m.To {
 			continue
 		}
-		if c.frozen {
+		if c.suspended {
 			c.inbox = append(c.inbox, m)
 			continue
 		}
-		w.do(c, c.claimant.Step(w.now, m))
+		w.process(c, c.claimant.Step(w.now, m))
 	}
 }
 
-func (w *network) overTheWire(m Message) Message {
+func (w *network) encodeAndDecode(m Message) Message {
 	data, err := EncodeMessage(&m)
 	if err != nil {
 		w.t.Fatalf("encode: %v", err)
@@ -173,50 +174,50 @@
 	return decoded
 }
 
-// do sends a claimant's messages and, when it may, its request.
-func (w *network) do(c *caller, messages []Message) {
-	w.wire = append(w.wire, messages...)
+// process sends a claimant's messages and, if allowed, its request.
+func (w *network) process(c *caller, messages []Message) {
+	w.inFlight = append(w.inFlight, messages...)
 	if c.sent || !c.claimant.MaySend(w.now) {
 		return
 	}
 	c.sent = true
 	key := c.claimant.request.Key
-	w.running[key]++
-	if w.running[key] > 1 {
+	w.sendCounts[key]++
+	if w.sendCounts[key] > 1 {
 		w.t.Fatalf("key %v was sent twice", key)
 	}
 }
 
-// settle ends a request that was sent.
+// settle reports the outcome of a request that was sent.
 func (w *network) settle(c *caller, o Outcome) {
-	if !c.sent || c.proved || c.frozen || !c.claimant.MaySend(w.now) {
+	if !c.sent || c.provedNotRun || c.suspended || !c.claimant.MaySend(w.now) {
 		return
 	}
 	if o.Kind == Released {
-		c.proved = true
-		w.running[c.claimant.request.Key]--
+		c.provedNotRun = true
+		w.sendCounts[c.claimant.request.Key]--
 	}
-	w.do(c, c.claimant.Settle(w.now, o))
+	w.process(c, c.claimant.Settle(w.now, o))
 }
 
 func (w *network) tick() {
 	for _, h := range w.hosts {
 		if h.up {
 			h.voter.Tick(w.now.Add(h.skew))
-			w.pump(h)
+			w.processReady(h)
 		}
 	}
 	for _, c := range w.callers {
-		if !c.frozen {
-			w.do(c, c.claimant.Tick(w.now))
+		if !c.suspended {
+			w.process(c, c.claimant.Tick(w.now))
 		}
 	}
 }
 
-// run delivers everything in order for a while.
+// run advances time by d and delivers all messages in order.
 func (w *network) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(10 * time.Millisecond) {
-		for len(w.wire) > 0 {
+		for len(w.inFlight) > 0 {
 			w.deliver(0, false)
 		}
 		w.tick()
@@ -239,19 +240,19 @@
 		Rand: rand.New(rand.NewPCG(w.rng.Uint64(), 1)),
 	})
 	w.callers = append(w.callers, c)
-	w.do(c, c.claimant.Start(w.now))
+	w.process(c, c.claimant.Start(w.now))
 	return c
 }
 
-func (w *network) expect(c *caller, want State) {
+func (w *network) expectState(c *caller, want State) {
 	w.t.Helper()
 	if got := c.claimant.Result().State; got != want {
 		w.t.Fatalf("%s has state %d, want %d", c.id, got, want)
 	}
 }
 
-// keyMadeAt returns a UUIDv7 key of a time.
-func keyMadeAt(at time.Time) string {
+// keyCreatedAt returns a UUIDv7 key with a timestamp.
+func keyCreatedAt(at time.Time) string {
 	id := uuid.UUID{6: 0x70, 8: 0x80, 15: 1}
 	ms := at.UnixMilli()
 	for i := range 6 {
@@ -260,12 +261,12 @@
 	return id.String()
 }
 
-func TestKeysOfVersionSevenCarryTheirTime(t *testing.T) {
-	at, ok := Key{Key: keyMadeAt(wallStart)}.madeAt()
-	if !ok || !at.Equal(wallStart) {
-		t.Fatalf("made at %v, %v", at, ok)
+func TestVersionSevenKeysHaveATimestamp(t *testing.T) {
+	at, ok := Key{Key: keyCreatedAt(startTime)}.createdAt()
+	if !ok || !at.Equal(startTime) {
+		t.Fatalf("created at %v, %v", at, ok)
 	}
-	if _, ok := (Key{Key: uuid.Nil.String()}).madeAt(); ok {
-		t.Fatal("a key of another version carries no time")
+	if _, ok := (Key{Key: uuid.Nil.String()}).createdAt(); ok {
+		t.Fatal("a key of another UUID version has a timestamp")
 	}
 }
--- a/claim/cases_test.go
+++ b/claim/outcomes_test.go
@@ -8,16 +8,17 @@
 	"celeryport/consensus"
 )
 
-// A caller sends a fabric hold again through another instance, during the first
-// one and after it. The bolt of cloth would be cut twice.
+// A caller repeats a hold on a bolt of fabric through another instance, both while
+// the first request runs and after it. Without the outcome of the first request,
+// the fabric would be cut twice.
 func TestDuplicateLearnsTheOutcome(t *testing.T) {
 	w := newNetwork(t, 1, "a", "b", "c")
 	first := w.claim("hold")
 	w.run(time.Second)
-	w.expect(first, Won)
+	w.expectState(first, Won)
 	during := w.claim("hold")
 	w.run(time.Second)
-	w.expect(during, Lost)
+	w.expectState(during, Lost)
 	if o := during.claimant.Result().Outcome; o.Kind != Pending {
 		t.Fatalf("outcome %+v of a request that still runs", o)
 	}
@@ -25,36 +26,36 @@
 	w.run(time.Second)
 	after := w.claim("hold")
 	w.run(time.Second)
-	w.expect(after, Lost)
+	w.expectState(after, Lost)
 	if o := after.claimant.Result().Outcome; o.Kind != Done || o.Status != 201 || string(o.Answer) != "held" {
 		t.Fatalf("outcome %+v", o)
 	}
 }
 
-// The upstream refused the connection, which proves that nothing ran. The
-// caller's next try must go through.
-func TestProvedNotRunFreesTheKey(t *testing.T) {
+// The upstream refused the connection, which proves that nothing ran. The caller's
+// next attempt must succeed.
+func TestReleaseFreesTheKey(t *testing.T) {
 	w := newNetwork(t, 2, "a", "b", "c")
 	first := w.claim("hold")
 	w.run(time.Second)
 	w.settle(first, Outcome{Kind: Released})
 	if first.claimant.MaySend(w.now) {
-		t.Fatal("it may still send after the release")
+		t.Fatal("the claimant may still send after the release")
 	}
 	w.run(time.Second)
 	second := w.claim("hold")
 	w.run(time.Second)
-	w.expect(second, Won)
+	w.expectState(second, Won)
 }
 
-// Two instances ask for the same key at the same moment, and each gets one vote
-// while the third voter is down. Nobody could ever send, and both callers would
-// wait for the whole lifetime of the key.
+// Two instances claim the same key at the same time. Each gets one vote and the
+// third voter is down. If the votes were not released, neither could ever send and
+// the key would be blocked for its whole lifetime.
 func TestSplitVotesAreReleased(t *testing.T) {
 	w := newNetwork(t, 3, "a", "b", "c")
 	w.crash(w.host("c"))
 	x, y := w.claim("hold"), w.claim("hold")
-	w.wire = slices.DeleteFunc(w.wire, func(m Message) bool {
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(m Message) bool {
 		return m.From == x.id && m.To == "b" || m.From == y.id && m.To == "a"
 	})
 	w.run(5 * time.Second)
@@ -69,80 +70,81 @@
 	}
 }
 
-// Three holders have one vote each and none can win; said to be split, the
-// callers may ask again. Here the first two are gone and never release.
-func TestThreeWaySplitIsNotRun(t *testing.T) {
+// Three holders have one vote each, so none can win; the first two have failed and
+// never release. The result must be Split, so that the caller may retry.
+func TestThreeWaySplitIsReportedAsSplit(t *testing.T) {
 	w := newNetwork(t, 4, "a", "b", "c")
 	for _, id := range []consensus.ID{"a", "b"} {
 		gone := w.claim("hold")
-		w.wire = slices.DeleteFunc(w.wire, func(m Message) bool { return m.From == gone.id && m.To != id })
+		w.inFlight = slices.DeleteFunc(w.inFlight, func(m Message) bool { return m.From == gone.id && m.To != id })
 		w.run(20 * time.Millisecond)
-		gone.frozen = true
+		gone.suspended = true
 	}
 	third := w.claim("hold")
 	w.run(2 * time.Second)
-	w.expect(third, Split)
+	w.expectState(third, Split)
 }
 
-// Two of three voters are gone. The caller must hear soon, and not at its own
-// far deadline, that nothing was run.
-func TestNoMajorityIsToldSoon(t *testing.T) {
+// Two of three voters are down. The caller must be informed soon, not only at its
+// own distant deadline, that nothing ran.
+func TestNoMajorityIsReportedBeforeTheDeadline(t *testing.T) {
 	w := newNetwork(t, 12, "a", "b", "c")
 	w.crash(w.host("b"))
 	w.crash(w.host("c"))
-	c := w.claimAt("hold", w.newest(), time.Hour)
+	c := w.claimAt("hold", w.newestEpoch(), time.Hour)
 	w.run(time.Second)
-	w.expect(c, NoMajority)
+	w.expectState(c, NoMajority)
 	w.start(w.host("b"))
 	w.run(time.Second)
 	again := w.claim("hold")
 	w.run(time.Second)
-	w.expect(again, Won)
+	w.expectState(again, Won)
 }
 
-// A claimant's process is frozen with the last vote on its way, and wakes after
-// its deadline. Its caller was told long ago that the request failed, and may
-// have sent it again under another key.
+// A claimant's process is suspended before the last vote arrives and resumes after
+// its deadline. It must not send: its caller was already informed of the failure
+// and may have repeated the request under another key.
 func TestFrozenClaimantDoesNotSendAfterItsDeadline(t *testing.T) {
 	w := newNetwork(t, 5, "a", "b", "c")
 	c := w.claim("hold")
-	c.frozen = true
+	c.suspended = true
 	w.run(time.Minute)
-	c.frozen = false
+	c.suspended = false
 	for _, m := range c.inbox {
-		w.do(c, c.claimant.Step(w.now, m))
+		w.process(c, c.claimant.Step(w.now, m))
 	}
-	w.expect(c, NoMajority)
+	w.expectState(c, NoMajority)
 	if c.sent {
-		t.Fatal("it sent")
+		t.Fatal("the claimant sent after its deadline")
 	}
 	w.run(time.Second)
 	again := w.claim("hold")
 	w.run(time.Second)
-	w.expect(again, Won)
+	w.expectState(again, Won)
 
-	frozen := w.claim("other")
+	suspended := w.claim("other")
 	w.run(time.Second)
 	w.now = w.now.Add(time.Minute)
-	if frozen.claimant.MaySend(w.now) {
-		t.Fatal("a claim that was won may be sent for ever")
+	if suspended.claimant.MaySend(w.now) {
+		t.Fatal("a claimant that won may send after its deadline")
 	}
 }
 
-// A claim was won at voters a and b. Then b's disk is lost and d takes its place.
-// With empty votes, d and c would give the same key to a second holder.
+// A claim was won with the votes of a and b. Then b's disk is lost and d replaces
+// it. If d voted without copying the votes, d and c would grant the same key to a
+// second holder.
 func TestNewVoterCopiesBeforeItVotes(t *testing.T) {
 	w := newNetwork(t, 6, "a", "b", "c")
 	first := w.claim("hold")
-	w.wire = slices.DeleteFunc(w.wire, func(m Message) bool { return m.To == "c" })
-	for i := 0; len(w.wire) > 0; {
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(m Message) bool { return m.To == "c" })
+	for i := 0; len(w.inFlight) > 0; {
 		w.deliver(i, false)
 	}
-	w.expect(first, Won)
+	w.expectState(first, Won)
 	w.crash(w.host("b"))
-	w.change("a", "b", "c", "d")
-	w.change("a", "c", "d")
-	w.crash(w.host("a")) // a is away while d joins
+	w.changeVoters("a", "b", "c", "d")
+	w.changeVoters("a", "c", "d")
+	w.crash(w.host("a")) // a is down while d joins
 	d := w.addHost("d")
 	w.enterAll(w.host("c"))
 	w.run(2 * time.Second)
@@ -158,25 +160,25 @@
 	w.enterAll(w.host("a"))
 	w.run(3 * time.Second)
 	if !d.voter.Status().Complete {
-		t.Fatal("d does not vote although a and c answer")
+		t.Fatal("d does not vote although a and c respond")
 	}
 	w.crash(w.host("a"))
 	third := w.claim("hold")
 	w.run(2 * time.Second)
-	w.expect(third, Lost)
+	w.expectState(third, Lost)
 	fresh := w.claim("fresh")
 	w.run(2 * time.Second)
-	w.expect(fresh, Won)
+	w.expectState(fresh, Won)
 }
 
-// An instance has not heard of a change of the voters and asks the old ones, of
-// which b has not heard of it either. A majority of the old voters, a and b, and
-// one of the new, c and d, need not share a voter.
+// An instance does not know of a change of voters and sends its claim to the old
+// ones, and voter b does not know of the change either. A majority of the old
+// voters (a and b) and one of the new voters (c and d) may have no voter in common.
 func TestVotesOfTwoEpochsDoNotAddUp(t *testing.T) {
 	w := newNetwork(t, 7, "a", "b", "c")
 	old := w.epochs[0]
-	w.change("a", "b", "c", "d")
-	w.change("a", "c", "d")
+	w.changeVoters("a", "b", "c", "d")
+	w.changeVoters("a", "c", "d")
 	d := w.addHost("d")
 	w.enterAll(w.host("a"))
 	w.enterAll(w.host("c"))
@@ -184,7 +186,7 @@
 	if !d.voter.Status().Complete {
 		t.Fatal("d does not vote")
 	}
-	w.winAt("hold", "c", "d")
+	w.winWithVotesOf("hold", "c", "d")
 	w.crash(w.host("c"))
 	stale := w.claimAt("hold", old, time.Second)
 	w.run(2 * time.Second)
@@ -193,32 +195,32 @@
 	}
 }
 
-// The voters change while a claim is under way. It must go on with the new ones
-// and not end as if nobody could be reached.
-func TestClaimGoesOnWithTheNewVoters(t *testing.T) {
+// The voters change while a claim is in progress. It must continue with the new
+// voters instead of failing for lack of a majority.
+func TestClaimContinuesWithTheNewVoters(t *testing.T) {
 	w := newNetwork(t, 13, "a", "b", "c")
 	w.crash(w.host("b"))
 	w.crash(w.host("c"))
 	c := w.claim("hold")
 	w.run(300 * time.Millisecond)
 	w.start(w.host("c"))
-	w.change("a", "c", "d")
+	w.changeVoters("a", "c", "d")
 	w.addHost("d")
 	w.enterAll(w.host("a"))
 	w.enterAll(w.host("c"))
 	w.run(300 * time.Millisecond)
-	w.do(c, c.claimant.Reconfigure(w.now, w.newest()))
+	w.process(c, c.claimant.Reconfigure(w.now, w.newestEpoch()))
 	w.run(300 * time.Millisecond)
-	w.expect(c, Won)
+	w.expectState(c, Won)
 }
 
-// All previous voters are lost for good, and with them the votes. Keys that were
-// claimed before must not look new.
-func TestAfterADisasterVotersAbstainForALifetime(t *testing.T) {
+// All previous voters and their votes are permanently lost. Keys that were claimed
+// before must not be treated as new.
+func TestVotersAbstainForALifetimeAfterAReset(t *testing.T) {
 	w := newNetwork(t, 8, "a")
 	first := w.claim("hold")
 	w.run(time.Second)
-	w.expect(first, Won)
+	w.expectState(first, Won)
 	w.crash(w.host("a"))
 	w.epochs = []Epoch{{Number: 9, Voters: []consensus.ID{"n"}, Reset: true}}
 	w.addHost("n")
@@ -235,14 +237,15 @@
 	w.tick()
 	later := w.claim("another")
 	w.run(2 * time.Second)
-	w.expect(later, Won)
+	w.expectState(later, Won)
 }
 
-// A caller resends a key after the voters have dropped their votes: after a day,
-// after the lifetime was raised, or at a voter whose clock was set back.
-func TestForgottenKeyIsRefused(t *testing.T) {
+// A caller resends a key after the voters have dropped its vote: after the lifetime,
+// after the lifetime was raised, or to a voter whose clock was set back. The key
+// must be rejected.
+func TestKeyWithDroppedVoteIsRejected(t *testing.T) {
 	w := newNetwork(t, 9, "a", "b", "c")
-	key := keyMadeAt(w.now)
+	key := keyCreatedAt(w.now)
 	w.claim(key)
 	w.run(time.Second)
 	w.now = w.now.Add(testLifetime + time.Minute)
@@ -262,32 +265,33 @@
 	}
 	resent := w.claim(key)
 	w.run(time.Second)
-	w.expect(resent, Expired)
-	future := w.claim(keyMadeAt(w.now.Add(time.Hour)))
+	w.expectState(resent, Expired)
+	future := w.claim(keyCreatedAt(w.now.Add(time.Hour)))
 	w.run(time.Second)
-	w.expect(future, Expired)
+	w.expectState(future, Expired)
 }
 
-// A release overtakes the request that it belongs to. The late request would
-// take the key for a holder that is gone, for the rest of its lifetime.
+// A release arrives before the request that it belongs to. The delayed request must
+// not claim the key, for the rest of its lifetime, for a holder that no longer
+// uses it.
 func TestLateRequestOfAReleasedHolderGetsNoVote(t *testing.T) {
 	w := newNetwork(t, 10, "a", "b", "c")
 	c := w.claim("hold")
-	requests := slices.Clone(w.wire)
-	w.wire = nil
+	requests := slices.Clone(w.inFlight)
+	w.inFlight = nil
 	w.now = w.now.Add(11 * time.Second)
 	w.run(time.Second)
-	w.expect(c, NoMajority)
-	c.frozen = true // its process is gone
-	w.wire = requests
+	w.expectState(c, NoMajority)
+	c.suspended = true // its process has ended
+	w.inFlight = requests
 	w.run(time.Second)
 	next := w.claim("hold")
 	w.run(time.Second)
-	w.expect(next, Won)
+	w.expectState(next, Won)
 }
 
-// More keys are claimed than a voter can hold. If it made room by forgetting,
-// a resend would look new.
+// More keys are claimed than a voter can store. If it dropped votes early to make
+// room, a resent key would be treated as new.
 func TestFullVoterAbstains(t *testing.T) {
 	w := newNetwork(t, 11, "a")
 	w.host("a").voter.cfg.MaxVotes = 2
@@ -300,8 +304,8 @@
 	}
 	third, again := w.claim("3"), w.claim("1")
 	w.run(11 * time.Second)
-	w.expect(third, NoMajority)
-	w.expect(again, Lost)
+	w.expectState(third, NoMajority)
+	w.expectState(again, Lost)
 	if s := w.host("a").voter.Status(); !s.Full || s.Votes != 2 || s.AnswerBytes > 4 {
 		t.Fatalf("the voter holds %+v", s)
 	}
--- a/claim/property_test.go
+++ b/claim/property_test.go
@@ -13,8 +13,8 @@
 	"celeryport/consensus"
 )
 
-// TestMain fixes the seed, so that a run of the tests is the same every time; the
-// flags of rapid still change it.
+// TestMain sets a fixed seed so that test runs are reproducible. The flags of
+// rapid override it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20261202")
 	_ = flag.Set("rapid.checks", "40")
@@ -24,19 +24,19 @@
 	os.Exit(m.Run())
 }
 
-// Messages are lost, doubled, late and reordered; voters crash and lose what
-// they had not synced, lose their disks and are replaced; claimants freeze and
-// wake; instances know an old set of voters. No key may be sent twice, unless
-// the request before was proved to have not run.
+// Random faults: messages are lost, duplicated, delayed and reordered; voters crash
+// and lose unsynced state, or lose their disks and are replaced; claimants are
+// suspended and resume; instances use an old set of voters. No key may be sent
+// twice, unless the previous request was proved not to have run.
 func TestNoKeyIsSentTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { runChaos(t, rapid.Uint64().Draw(t, "seed")) })
 }
 
-// chaosSteps is the number of steps of one run. All of them come from the seed: a
-// failing seed is kept as a plain test.
+// chaosSteps is the number of steps in one run. All of them are derived from the
+// seed; a failing seed is kept as a regular test.
 const chaosSteps = 1000
 
-func runChaos(t fataler, seed uint64) *network {
+func runChaos(t testingT, seed uint64) *network {
 	w := newNetwork(t, seed, "v1", "v2", "v3")
 	w.crashes = true
 	for range chaosSteps {
@@ -46,7 +46,7 @@
 	w.heal()
 	last := w.claim("last")
 	w.run(5 * time.Second)
-	w.expect(last, Won)
+	w.expectState(last, Won)
 	return w
 }
 
@@ -71,12 +71,12 @@
 		w.settleOne()
 	case 10:
 		w.reconfigureOne()
-	case 11: // the log of records is rewritten
+	case 11: // the record log is rewritten
 		if h := w.hosts[w.rng.IntN(len(w.hosts))]; h.up {
 			h.disk = h.voter.Records()
 		}
 	case 12, 13: // a burst that arrives in order
-		for range min(len(w.wire), 200) {
+		for range min(len(w.inFlight), 200) {
 			w.deliver(0, false)
 		}
 	default:
@@ -84,41 +84,41 @@
 	}
 }
 
-// randomClaim claims a key that a few others claim too, now and then with all
-// messages to one voter lost, so that the claim is decided by the others alone.
+// randomClaim claims a key that a few other callers also claim. In half of the
+// cases all messages to one voter are lost, so that the others decide the claim.
 func (w *network) randomClaim() {
 	key := fmt.Sprint("k", len(w.callers)/8)
 	epoch := w.epochs[max(0, len(w.epochs)-1-w.rng.IntN(4))]
-	before := len(w.wire)
+	before := len(w.inFlight)
 	w.claimAt(key, epoch, 20*time.Second)
 	if w.rng.IntN(2) == 0 {
 		return
 	}
-	out := epoch.Voters[w.rng.IntN(len(epoch.Voters))]
-	kept := slices.DeleteFunc(slices.Clone(w.wire[before:]), func(m Message) bool { return m.To == out })
-	w.wire = append(w.wire[:before], kept...)
-	for len(w.wire) > before && w.rng.IntN(20) > 0 {
+	unreachable := epoch.Voters[w.rng.IntN(len(epoch.Voters))]
+	kept := slices.DeleteFunc(slices.Clone(w.inFlight[before:]), func(m Message) bool { return m.To == unreachable })
+	w.inFlight = append(w.inFlight[:before], kept...)
+	for len(w.inFlight) > before && w.rng.IntN(20) > 0 {
 		w.deliver(before, false)
 	}
 }
 
-// reconfigureOne lets an instance hear of a change of the voters.
+// reconfigureOne makes a random claimant change to another set of voters.
 func (w *network) reconfigureOne() {
 	if len(w.callers) == 0 {
 		return
 	}
-	if c := w.callers[w.rng.IntN(len(w.callers))]; !c.frozen {
-		w.do(c, c.claimant.Reconfigure(w.now, w.epochs[w.rng.IntN(len(w.epochs))]))
+	if c := w.callers[w.rng.IntN(len(w.callers))]; !c.suspended {
+		w.process(c, c.claimant.Reconfigure(w.now, w.epochs[w.rng.IntN(len(w.epochs))]))
 	}
 }
 
-// randomDelivery loses, doubles or delivers any message.
+// randomDelivery loses, duplicates or delivers random messages.
 func (w *network) randomDelivery() {
-	for range min(len(w.wire), 1+w.rng.IntN(8)) {
-		i := w.rng.IntN(len(w.wire))
+	for range min(len(w.inFlight), 1+w.rng.IntN(8)) {
+		i := w.rng.IntN(len(w.inFlight))
 		switch w.rng.IntN(8) {
 		case 0:
-			w.wire = append(w.wire[:i], w.wire[i+1:]...)
+			w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
 		case 1:
 			w.deliver(i, true)
 		default:
@@ -133,40 +133,40 @@
 		w.crash(h)
 		return
 	}
-	if w.newest().Has(h.id) { // a replaced voter's disk is lost
+	if w.newestEpoch().Has(h.id) { // a replaced voter's disk is lost
 		w.start(h)
 	}
 }
 
-func (w *network) newest() Epoch { return w.epochs[len(w.epochs)-1] }
+func (w *network) newestEpoch() Epoch { return w.epochs[len(w.epochs)-1] }
 
-// replaceVoter does what the control group does after a disk was lost: the new
-// voter is added, then the old one removed. The log tells the voters that run,
-// in order; some hear of it much later.
+// replaceVoter replaces a voter as the control group does after a disk was lost: it
+// adds the new voter, then removes the old one. Voters enter the epochs in order,
+// some of them much later.
 func (w *network) replaceVoter() {
-	voters := w.newest().Voters
+	voters := w.newestEpoch().Voters
 	if len(w.epochs) > 20 || !w.allComplete() {
 		return
 	}
 	lost := voters[w.rng.IntN(len(voters))]
 	added := consensus.ID(fmt.Sprintf("v%d", 10+len(w.epochs)))
 	w.crash(w.host(lost))
-	w.change(append(append([]consensus.ID(nil), voters...), added)...)
-	var left []consensus.ID
-	for _, id := range w.newest().Voters {
+	w.changeVoters(append(append([]consensus.ID(nil), voters...), added)...)
+	var remaining []consensus.ID
+	for _, id := range w.newestEpoch().Voters {
 		if id != lost {
-			left = append(left, id)
+			remaining = append(remaining, id)
 		}
 	}
-	w.change(left...)
+	w.changeVoters(remaining...)
 	w.addHost(added)
 }
 
-// allComplete reports whether the last repair is over; a second disk lost before
-// that would be a lost majority.
+// allComplete reports whether the last replacement is complete. The loss of a
+// second disk before that would be the loss of a majority.
 func (w *network) allComplete() bool {
-	for _, id := range w.newest().Voters {
-		if s := w.host(id).voter.Status(); s.Epoch != w.newest().Number || !s.Complete {
+	for _, id := range w.newestEpoch().Voters {
+		if s := w.host(id).voter.Status(); s.Epoch != w.newestEpoch().Number || !s.Complete {
 			return false
 		}
 	}
@@ -178,14 +178,14 @@
 		return
 	}
 	c := w.callers[w.rng.IntN(len(w.callers))]
-	c.frozen = !c.frozen
-	if c.frozen {
+	c.suspended = !c.suspended
+	if c.suspended {
 		return
 	}
 	inbox := c.inbox
 	c.inbox = nil
 	for _, m := range inbox {
-		w.do(c, c.claimant.Step(w.now, m))
+		w.process(c, c.claimant.Step(w.now, m))
 	}
 }
 
@@ -197,10 +197,10 @@
 	w.settle(w.callers[w.rng.IntN(len(w.callers))], Outcome{Kind: kinds[w.rng.IntN(2)]})
 }
 
-// heal starts what is down and delivers everything.
+// heal starts all stopped hosts, resumes all claimants and delivers all messages.
 func (w *network) heal() {
 	for _, h := range w.hosts {
-		if !h.up && w.newest().Has(h.id) {
+		if !h.up && w.newestEpoch().Has(h.id) {
 			w.start(h)
 		}
 		if h.up {
@@ -208,7 +208,7 @@
 		}
 	}
 	for _, c := range w.callers {
-		c.frozen = false
+		c.suspended = false
 	}
 	w.run(5 * time.Second)
 }
--- a/claim/record.go
+++ b/claim/record.go
@@ -7,27 +7,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Record is one synced change of a voter. Exactly one field is set.
+// Record is one change of a voter's state that is synced to disk. Exactly one field
+// is set.
 type Record struct {
 	Vote  *Vote       `json:"vote,omitempty"`
 	Epoch *EpochState `json:"epoch,omitempty"`
 }
 
-// EpochState says how far a voter has come.
+// EpochState is a voter's progress through the epochs.
 type EpochState struct {
-	Entered  []Epoch   `json:"entered"`  // epochs from the last complete one on; it votes in none but the last
-	Complete uint64    `json:"complete"` // up to this epoch it knows every claim that may have been won
-	Since    time.Time `json:"since"`    // when the last epoch was entered
-	// Forgotten is the newest time such that votes of keys made before it may
-	// have been dropped. Such keys are refused also when the lifetime is raised
-	// later, or on a voter whose clock is behind that of the one it copied from.
-	Forgotten time.Time `json:"forgotten,omitzero"`
+	Entered  []Epoch   `json:"entered"`  // epochs from the last complete one on; the voter votes only in the last
+	Complete uint64    `json:"complete"` // epoch up to which the voter knows every claim that may have been won
+	Since    time.Time `json:"since"`    // time at which the last epoch was entered
+	// DroppedBefore is the latest time for which votes of keys created earlier
+	// may have been dropped. Such keys are rejected even if the lifetime is
+	// raised later, or if the clock of a voter that copied the votes is behind
+	// the clock of the voter that dropped them.
+	DroppedBefore time.Time `json:"forgotten,omitzero"`
 }
 
-// EncodeRecord returns the form of a record on the disk.
+// EncodeRecord returns the encoding of a record on disk.
 func EncodeRecord(r Record) ([]byte, error) { return json.Marshal(r) }
 
-// DecodeRecord reads a record from the disk.
+// DecodeRecord decodes a record from disk.
 func DecodeRecord(data []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(data, &r); err != nil {
--- a/claim/settlement.go
+++ b/claim/settlement.go
@@ -7,41 +7,41 @@
 	"celeryport/consensus"
 )
 
-// settleAttempts bounds how often an outcome is sent. Voters that never hear of
-// it keep the key as claimed, and duplicates are told that it may have run.
+// settleAttempts limits how often an outcome is sent. Voters that never receive it
+// keep the key as claimed, and duplicates are told that the request may have run.
 const settleAttempts = 10
 
-// releaseAttempts is the same for a claim that was given up.
+// releaseAttempts limits how often the release of an abandoned claim is sent.
 const releaseAttempts = 3
 
-// settlement tells the voters the outcome of a claim that was won.
+// settlement sends the outcome of a claim to the voters.
 type settlement struct {
-	outcome   Outcome
-	left      int
-	next      time.Time
-	confirmed []consensus.ID
+	outcome      Outcome
+	attemptsLeft int
+	next         time.Time
+	confirmed    []consensus.ID
 }
 
-// Settle records the outcome of a claim that was won, once. Released needs a
-// proof that the request did not run.
+// Settle records the outcome of a claim that was won. Only the first call has an
+// effect. Released requires proof that the request did not run.
 func (c *Claimant) Settle(now time.Time, o Outcome) []Message {
-	if c.state != Won || c.settle.left > 0 || o.Kind == Pending {
+	if c.state != Won || c.delivery.attemptsLeft > 0 || o.Kind == Pending {
 		return nil
 	}
 	if len(o.Answer) > MaxAnswer {
 		o.Answer = nil
 	}
 	if o.Kind == Released {
-		c.state, c.outcome = Lost, o // it may not send any more
+		c.state, c.outcome = Lost, o // the holder must not send any more
 	}
-	c.settle = settlement{outcome: o, left: settleAttempts}
-	return c.settle.tick(c, now)
+	c.delivery = settlement{outcome: o, attemptsLeft: settleAttempts}
+	return c.delivery.tick(c, now)
 }
 
-// Settled reports whether a majority has stored the outcome, or the claimant has
-// given up telling it.
+// Settled reports whether the outcome is no longer being sent, because all voters
+// have confirmed it or the attempts are used up.
 func (c *Claimant) Settled() bool {
-	return c.settle.outcome.Kind != Pending && c.settle.next.IsZero()
+	return c.delivery.outcome.Kind != Pending && c.delivery.next.IsZero()
 }
 
 func (s *settlement) confirm(from consensus.ID, current bool) {
@@ -54,11 +54,11 @@
 	if s.outcome.Kind == Pending || now.Before(s.next) {
 		return nil
 	}
-	if s.left == 0 || len(s.confirmed) == len(c.request.Epoch.Voters) {
+	if s.attemptsLeft == 0 || len(s.confirmed) == len(c.request.Epoch.Voters) {
 		s.next = time.Time{}
 		return nil
 	}
-	s.left--
+	s.attemptsLeft--
 	s.next = now.Add(c.request.Resend)
 	var messages []Message
 	for _, id := range c.request.Epoch.Voters {
--- a/claim/table.go
+++ b/claim/table.go
@@ -9,19 +9,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// buckets is the number of parts in which a table is copied to another voter.
-const buckets = 16
+// bucketCount is the number of buckets in which a table is copied to another voter.
+const bucketCount = 16
 
-// table holds the votes of a voter.
+// table stores the votes of a voter.
 //
-// Rule of forgetting: a vote is dropped when its key is past the lifetime. The
-// voter notes up to which time it has dropped (EpochState.Forgotten) and refuses
-// every key that carries an earlier one, whatever its clock or its settings say
-// later; who copies the votes takes the note along. So a key that carries its
-// time never looks new again. An opaque key has no time: its lifetime runs from
-// the vote or the outcome, and after it the key is a new one.
+// A vote is dropped when the lifetime of its key has passed. The voter records the
+// time up to which it has dropped votes (EpochState.DroppedBefore) and rejects
+// every key with an earlier timestamp, regardless of later changes to its clock or
+// settings. A voter that copies the votes also takes over this time. A key with a
+// timestamp is therefore never treated as new again. An opaque key has no
+// timestamp: its lifetime starts with the vote or the outcome, and after that the
+// key is treated as new.
 type table struct {
-	parts       [buckets]map[Key]*Vote
+	buckets     [bucketCount]map[Key]*Vote
 	count       int
 	answerBytes int
 }
@@ -31,39 +32,40 @@
 	_, _ = h.WriteString(k.Organisation)
 	_, _ = h.Write([]byte{0})
 	_, _ = h.WriteString(k.Key)
-	return int(h.Sum64() % buckets)
+	return int(h.Sum64() % bucketCount)
 }
 
-func (t *table) get(k Key) *Vote { return t.parts[bucketOf(k)][k] }
+func (t *table) get(k Key) *Vote { return t.buckets[bucketOf(k)][k] }
 
-// put stores a vote in place of one for the same key.
+// put stores a vote and replaces any vote for the same key.
 func (t *table) put(v Vote) {
 	b := bucketOf(v.Key)
-	if t.parts[b] == nil {
-		t.parts[b] = make(map[Key]*Vote)
+	if t.buckets[b] == nil {
+		t.buckets[b] = make(map[Key]*Vote)
 	}
 	t.remove(v.Key)
-	// A few names stand in all votes; each message brought its own copy.
+	// Intern these strings: a few names occur in all votes, and each decoded message
+	// has its own copy.
 	v.Key.Organisation = unique.Make(v.Key.Organisation).Value()
 	v.Holder.Instance = unique.Make(v.Holder.Instance).Value()
-	t.parts[b][v.Key] = &v
+	t.buckets[b][v.Key] = &v
 	t.count++
 	t.answerBytes += len(v.Outcome.Answer)
 }
 
 func (t *table) remove(k Key) {
-	part := t.parts[bucketOf(k)]
-	if old, ok := part[k]; ok {
+	bucket := t.buckets[bucketOf(k)]
+	if old, ok := bucket[k]; ok {
 		t.count--
 		t.answerBytes -= len(old.Outcome.Answer)
-		delete(part, k)
+		delete(bucket, k)
 	}
 }
 
-// bucket returns the votes of one part in a fixed order.
+// bucket returns the votes of one bucket in a fixed order.
 func (t *table) bucket(b int) []Vote {
-	votes := make([]Vote, 0, len(t.parts[b]))
-	for _, v := range t.parts[b] {
+	votes := make([]Vote, 0, len(t.buckets[b]))
+	for _, v := range t.buckets[b] {
 		votes = append(votes, *v)
 	}
 	slices.SortFunc(votes, func(a, b Vote) int {
@@ -72,10 +74,10 @@
 	return votes
 }
 
-// expire drops what may be forgotten at now.
+// expire drops the votes whose keys have expired at now.
 func (t *table) expire(now time.Time, lifetime time.Duration) {
-	for b := range t.parts {
-		for k, v := range t.parts[b] {
+	for b := range t.buckets {
+		for k, v := range t.buckets[b] {
 			if v.expired(now, lifetime) {
 				t.remove(k)
 			}
@@ -85,16 +87,16 @@
 
 func (v *Vote) expired(now time.Time, lifetime time.Duration) bool {
 	from := v.At
-	if at, ok := v.Key.madeAt(); ok {
+	if at, ok := v.Key.createdAt(); ok {
 		from = at
 	}
 	return now.Sub(from) > lifetime
 }
 
-// merge returns what a voter must remember of a key of which two voters know
-// different things. The result never frees what one of them holds. Two pending
-// holders leave no holder at all: one of them may have won, and a release by
-// the other must not free the key.
+// merge combines two voters' votes for the same key. The result never frees a key
+// that one of the votes holds. Two different pending holders are merged into an
+// unknown holder: one of them may have won, and a release by the other must not
+// free the key.
 func merge(a, b Vote) Vote {
 	if a.At.Before(b.At) {
 		a, b = b, a
@@ -108,7 +110,7 @@
 	case a.Outcome.Kind == Released && a.Holder != b.Holder:
 		merged.Holder, merged.Outcome = b.Holder, b.Outcome
 	case b.Outcome.Kind == Released && a.Holder != b.Holder:
-	case a.Holder == b.Holder: // one of them heard of the release
+	case a.Holder == b.Holder: // one of the voters received the release
 		merged.Outcome = Outcome{Kind: Released}
 	default:
 		merged.Holder, merged.Outcome = Holder{}, Outcome{}
--- a/claim/vote.go
+++ b/claim/vote.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// vote answers a request for this voter's vote.
-func (v *Voter) vote(now time.Time, m Message) {
+// handleVoteRequest responds to a request for this voter's vote.
+func (v *Voter) handleVoteRequest(now time.Time, m Message) {
 	r := v.reply(m, VoteResponse)
 	old := v.table.get(m.Key)
 	if old != nil && old.expired(now, v.cfg.Lifetime) {
 		v.table.remove(m.Key)
-		v.forget(now.Add(-v.cfg.Lifetime))
+		v.recordDropped(now.Add(-v.cfg.Lifetime))
 		old = nil
 	}
 	switch {
-	case v.outdated(now, m.Key):
+	case v.timestampRejected(now, m.Key):
 		r.Answer = Refused
 	case old != nil && old.Outcome.Kind == Done:
-		// Known at any epoch, and never untrue later.
+		// An outcome is valid in every epoch and never changes.
 		r.Answer, r.Other, r.Outcome = Held, old.Holder, old.Outcome
-	case m.Epoch != v.epoch().Number || !v.mayVote():
+	case m.Epoch != v.epoch().Number || !v.canVote():
 		r.Answer = Abstained
 	case old == nil && v.table.count >= v.cfg.MaxVotes:
 		r.Answer = Abstained
@@ -25,7 +25,7 @@
 		v.store(Vote{Key: m.Key, Holder: m.Holder, At: now})
 		r.Answer = Granted
 	case old.Outcome.Kind == Released:
-		// A late copy of a request whose holder has given up.
+		// A delayed request of a holder that has released the key.
 		r.Answer = Abstained
 	case old.Holder == m.Holder:
 		r.Answer = Granted
@@ -35,17 +35,18 @@
 	v.messages = append(v.messages, r)
 }
 
-// outdated reports whether a key that carries its time is past its lifetime, or
-// so far ahead that its lifetime would not end.
-func (v *Voter) outdated(now time.Time, k Key) bool {
-	at, ok := k.madeAt()
-	return ok && (now.Sub(at) > v.cfg.Lifetime || at.Sub(now) > v.cfg.MaxAhead || at.Before(v.state.Forgotten))
+// timestampRejected reports whether a key has a timestamp that is past its
+// lifetime, too far in the future, or earlier than the time up to which votes may
+// have been dropped. The vote of a key far in the future would never expire.
+func (v *Voter) timestampRejected(now time.Time, k Key) bool {
+	at, ok := k.createdAt()
+	return ok && (now.Sub(at) > v.cfg.Lifetime || at.Sub(now) > v.cfg.MaxAhead || at.Before(v.state.DroppedBefore))
 }
 
-// settle stores what became of a claim. That a request ran is stored whoever
-// has this voter's vote: the holder that says so has won at other voters. A
-// release counts only for the holder itself.
-func (v *Voter) settle(now time.Time, m Message) {
+// handleSettleRequest stores the outcome of a claim. A Done outcome is stored
+// regardless of which holder has this voter's vote, because the reporting holder
+// won with the votes of others. A release is accepted only from the holder itself.
+func (v *Voter) handleSettleRequest(now time.Time, m Message) {
 	old := v.table.get(m.Key)
 	switch {
 	case old != nil && old.Outcome.Kind == Done:
@@ -54,8 +55,8 @@
 			v.store(Vote{Key: m.Key, Holder: m.Holder, Outcome: m.Outcome, At: now})
 		}
 	case m.Outcome.Kind == Released && old == nil:
-		// The release overtook the request: remembered, so that the late request
-		// does not take the key for a holder that is gone.
+		// The release arrived before the request. Store it, so that the delayed
+		// request does not claim the key for a holder that no longer uses it.
 		if v.table.count < v.cfg.MaxVotes {
 			v.store(Vote{Key: m.Key, Holder: m.Holder, Outcome: Outcome{Kind: Released}, At: now})
 		}
--- a/claim/voter.go
+++ b/claim/voter.go
@@ -8,16 +8,17 @@
 	"celeryport/consensus"
 )
 
-// VoterConfig sets up a Voter.
+// VoterConfig configures a Voter.
 type VoterConfig struct {
 	ID             consensus.ID
-	Lifetime       time.Duration // of a key
-	MaxAhead       time.Duration // a key that is made further in the future is refused
-	MaxVotes       int           // a full voter abstains; it never forgets early
-	MaxAnswerBytes int           // beyond, outcomes are stored without their answer
+	Lifetime       time.Duration // lifetime of a key
+	MaxAhead       time.Duration // keys with a timestamp further in the future are rejected
+	MaxVotes       int           // a full voter abstains; it never drops votes early
+	MaxAnswerBytes int           // above this total size, outcomes are stored without their answer
 }
 
-// The defaults keep a voter's memory under about 64 MB, at some 290 bytes a vote.
+// The defaults keep a voter's memory use below about 64 MB, at about 290 bytes per
+// vote.
 const (
 	DefaultLifetime       = 24 * time.Hour
 	DefaultMaxAhead       = 5 * time.Minute
@@ -25,7 +26,7 @@
 	DefaultMaxAnswerBytes = 16 << 20
 )
 
-// DefaultVoterConfig returns the defaults for a voter.
+// DefaultVoterConfig returns the default configuration of a voter.
 func DefaultVoterConfig(id consensus.ID) VoterConfig {
 	return VoterConfig{
 		ID: id, Lifetime: DefaultLifetime, MaxAhead: DefaultMaxAhead,
@@ -33,34 +34,35 @@
 	}
 }
 
-// Voter keeps write-once votes. It is a pure state machine and not safe for
-// concurrent use. Its now is wall time, because lifetimes outlast a restart.
+// Voter stores write-once votes. It is a deterministic state machine and not safe
+// for concurrent use. Its now arguments are wall time, because lifetimes continue
+// across restarts.
 //
-// Invariant: of one key, at most one holder ever has the votes of a majority of
-// an epoch, unless the one before proved that it did not run. Within an epoch,
-// two majorities share a voter, and a voter gives its vote away only after a
-// release. Across epochs, a voter votes only when it knows every claim that
-// earlier epochs may have decided, see copier.
+// Invariant: for each key, at most one holder ever has the votes of a majority of
+// an epoch, unless the previous holder proved that the request did not run. Within
+// an epoch, any two majorities have a voter in common, and a voter grants its vote
+// to another holder only after a release. Across epochs, a voter votes only when
+// it knows every claim that earlier epochs may have decided, see copier.
 type Voter struct {
-	cfg     VoterConfig
-	table   table
-	state   EpochState
-	expired time.Time // when the table was last searched for expired votes
-	copier  copier
+	cfg        VoterConfig
+	table      table
+	state      EpochState
+	lastExpiry time.Time // time of the last search for expired votes
+	copier     copier
 
 	records  []Record
 	messages []Message
 }
 
-// Batch is what the driver must do: sync the records in one go, then send the
-// messages. If the sync fails it must stop the voter.
+// Batch is the work for the driver: it syncs the records as one operation and then
+// sends the messages. If the sync fails it must stop the voter.
 type Batch struct {
 	Records  []Record
 	Messages []Message
 }
 
-// NewVoter returns a voter that goes on from its synced records. A voter without
-// records knows no epoch and abstains.
+// NewVoter returns a voter that resumes from its synced records. A voter without
+// records has no epoch and abstains.
 func NewVoter(cfg VoterConfig, records []Record) (*Voter, error) {
 	if cfg.ID == "" || cfg.Lifetime <= 0 || cfg.MaxVotes <= 0 {
 		return nil, errors.Newf("voter needs an ID, a lifetime and a size: %+v", cfg)
@@ -69,7 +71,7 @@
 	for _, r := range records {
 		v.replay(r)
 	}
-	v.copier.begin(v)
+	v.copier.selectTarget(v)
 	return v, nil
 }
 
@@ -81,7 +83,7 @@
 	v.table.put(*r.Vote)
 }
 
-// Step takes in a message.
+// Step processes a message.
 func (v *Voter) Step(now time.Time, m Message) {
 	now = now.Round(0)
 	if m.To != v.cfg.ID {
@@ -89,64 +91,65 @@
 	}
 	switch m.Kind {
 	case VoteRequest:
-		v.vote(now, m)
+		v.handleVoteRequest(now, m)
 	case SettleRequest:
-		v.settle(now, m)
+		v.handleSettleRequest(now, m)
 	case CopyRequest:
-		v.sendCopy(m)
+		v.handleCopyRequest(m)
 	case CopyResponse:
-		v.copier.receive(v, now, m)
+		v.copier.handleCopyResponse(v, now, m)
 	}
 }
 
-// expiryInterval is how often the table is searched for expired votes.
+// expiryInterval is the interval at which the table is searched for expired votes.
 const expiryInterval = time.Minute
 
-// Tick lets time pass: it drops expired votes and asks again for votes that the
-// voter still has to copy. Call it about every second.
+// Tick drops expired votes and repeats the requests for votes that still have to
+// be copied. It should be called about once per second.
 func (v *Voter) Tick(now time.Time) {
 	now = now.Round(0)
-	if now.Sub(v.expired) >= expiryInterval {
-		v.expired = now
+	if now.Sub(v.lastExpiry) >= expiryInterval {
+		v.lastExpiry = now
 		v.table.expire(now, v.cfg.Lifetime)
-		v.forget(now.Add(-v.cfg.Lifetime))
+		v.recordDropped(now.Add(-v.cfg.Lifetime))
 	}
-	v.copier.ask(v)
-	v.finishReset(now)
+	v.copier.requestCopies(v)
+	v.completeReset(now)
 }
 
-// SetLifetime changes the lifetime of keys. When it is raised, keys whose votes
-// were dropped under the shorter one stay refused. Lowering it makes opaque keys
-// new that were promised to be remembered for longer.
+// SetLifetime changes the lifetime of keys. If it is raised, keys whose votes were
+// dropped under the shorter lifetime are still rejected. If it is lowered, opaque
+// keys are treated as new earlier than promised when they were claimed.
 func (v *Voter) SetLifetime(lifetime time.Duration) {
 	if lifetime > 0 {
 		v.cfg.Lifetime = lifetime
 	}
 }
 
-// forget notes that votes of keys made before a time may be gone.
-func (v *Voter) forget(before time.Time) {
-	if before.After(v.state.Forgotten) {
-		v.state.Forgotten = before
+// recordDropped records that votes of keys created before a time may have been
+// dropped.
+func (v *Voter) recordDropped(before time.Time) {
+	if before.After(v.state.DroppedBefore) {
+		v.state.DroppedBefore = before
 	}
 }
 
-// HasReady reports whether Ready would return something.
+// HasReady reports whether Ready would return any work.
 func (v *Voter) HasReady() bool { return len(v.records) > 0 || len(v.messages) > 0 }
 
-// Ready hands out the work since the last call.
+// Ready returns the work that has accumulated since the last call.
 func (v *Voter) Ready() Batch {
 	b := Batch{v.records, v.messages}
 	v.records, v.messages = nil, nil
 	return b
 }
 
-// Records returns the whole state, to replace the log of records when that has
-// grown. Call it right after a batch was synced.
+// Records returns the complete state, to replace a record log that has grown too
+// large. It must be called right after a batch was synced.
 func (v *Voter) Records() []Record {
 	state := v.state
 	records := []Record{{Epoch: &state}}
-	for b := range v.table.parts {
+	for b := range v.table.buckets {
 		for _, vote := range v.table.bucket(b) {
 			records = append(records, Record{Vote: &vote})
 		}
@@ -154,19 +157,19 @@
 	return records
 }
 
-// VoterStatus is the state of a voter for operators and metrics.
+// VoterStatus describes a voter for operators and metrics.
 type VoterStatus struct {
 	Epoch       uint64
-	Complete    bool // it votes; otherwise it still copies, or does not belong to the epoch
+	Complete    bool // the voter votes; otherwise it is still copying or is not a voter of the epoch
 	Votes       int
 	AnswerBytes int
-	Full        bool // it abstains from new keys
+	Full        bool // the voter abstains from new keys
 }
 
-// Status returns the present state.
+// Status returns the current state.
 func (v *Voter) Status() VoterStatus {
 	return VoterStatus{
-		Epoch: v.epoch().Number, Complete: v.mayVote(),
+		Epoch: v.epoch().Number, Complete: v.canVote(),
 		Votes: v.table.count, AnswerBytes: v.table.answerBytes, Full: v.table.count >= v.cfg.MaxVotes,
 	}
 }
--- a/consensus/network_test.go
+++ b/consensus/network_test.go
@@ -208,7 +208,7 @@
 	w.now = end
 }
 
-// waitFor advances time waitFor the condition holds, and fails after the limit.
+// waitFor advances time until the condition holds, and fails after the limit.
 func (w *network) waitFor(limit time.Duration, what string, condition func() bool) {
 	w.t.Helper()
 	end := w.now.Add(limit)
