--- a/wal/atomic.go
+++ b/wal/atomic.go
@@ -6,9 +6,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// WriteFileAtomic replaces a file whole: it is written beside, synced, renamed,
-// and the folder is synced. After a crash the old or the new content is there,
-// never a part of one. When it returns an error, either may be there.
+// WriteFileAtomic replaces the content of a file atomically: it writes and syncs a
+// temporary file, renames it and syncs the folder. After a crash the file has
+// either the old or the new content, never a part of it. If an error is returned,
+// the file may have either content.
 func WriteFileAtomic(fs FS, path string, data []byte) error {
 	temporary := path + temporarySuffix
 	f, err := fs.Create(temporary)
@@ -34,13 +35,14 @@
 	return f.Sync()
 }
 
-// WriteChecked is WriteFileAtomic with a checksum that ReadChecked verifies.
+// WriteChecked writes a file like WriteFileAtomic and adds a checksum that
+// ReadChecked verifies.
 func WriteChecked(fs FS, path string, data []byte) error {
 	framed := appendFrame([]byte(segmentMagic), marker{}, data)
 	return WriteFileAtomic(fs, path, framed)
 }
 
-// ReadChecked returns the content that WriteChecked wrote.
+// ReadChecked returns the content of a file written by WriteChecked.
 func ReadChecked(fs FS, path string) ([]byte, error) {
 	data, err := fs.ReadFile(path)
 	if err != nil {
--- a/wal/bench_test.go
+++ b/wal/bench_test.go
@@ -9,8 +9,8 @@
 	"celeryport/consensus"
 )
 
-// BenchmarkAppendSync measures one synced append of a group of entries of 200
-// bytes on the disk of the temporary folder.
+// BenchmarkAppendSync measures one synced append of a batch of 200-byte entries on
+// the disk of the temporary folder.
 func BenchmarkAppendSync(b *testing.B) {
 	for _, group := range []int{1, 16, 64} {
 		b.Run(fmt.Sprintf("entries=%d", group), func(b *testing.B) { benchmarkAppend(b, group) })
--- a/wal/codec.go
+++ b/wal/codec.go
@@ -8,7 +8,7 @@
 	"celeryport/consensus"
 )
 
-// The kinds of records in the log of a voter.
+// Types of records in a voter's log.
 const (
 	recordHardState byte = 1
 	recordEntry     byte = 2
@@ -29,7 +29,7 @@
 	return append(b, e.Data...)
 }
 
-// replay applies one record to the state that the records before it left.
+// replay applies one record to the state produced by the preceding records.
 func replay(s *consensus.Storage, record []byte) error {
 	if len(record) == 0 {
 		return errors.New("empty record")
@@ -75,7 +75,8 @@
 	return err
 }
 
-// replaceFrom appends an entry, in place of one at its index and all behind.
+// replaceFrom appends an entry. An existing entry at its index and all entries
+// after it are removed.
 func replaceFrom(entries []consensus.Entry, e consensus.Entry) ([]consensus.Entry, error) {
 	if len(entries) == 0 {
 		return append(entries, e), nil
--- a/wal/crash_test.go
+++ b/wal/crash_test.go
@@ -12,8 +12,8 @@
 	"celeryport/consensus"
 )
 
-// TestMain fixes the seed, so that a run of the tests is the same every time; the
-// flags of rapid still change it.
+// TestMain sets a fixed seed so that test runs are reproducible. The flags of
+// rapid override it.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20261202")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// model is what a voter may rely on: what calls that returned have stored.
+// model is the expected state: everything stored by calls that returned.
 type model struct {
 	t     *rapid.T
 	rng   *rand.Rand
@@ -32,9 +32,9 @@
 	voter consensus.ID
 }
 
-// The machine loses power, or the process is killed, between any two changes of
-// the disk, many times over. A voter must find what it stored last, or that plus
-// the one call that had not returned.
+// The machine loses power, or the process is killed, between any two changes of the
+// disk, many times. A voter must find the last stored state, with or without the
+// effect of the one call that had not returned.
 func TestCrashesLoseNothingThatWasStored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -51,7 +51,7 @@
 				continue
 			}
 			m.crash()
-			for m.rng.IntN(2) == 0 { // also in the middle of the next start
+			for m.rng.IntN(2) == 0 { // also crash during the next start
 				m.disk.steps = m.rng.IntN(12)
 				o := m.options()
 				_, _, _ = Open(folder, "ortigia", m.disk, o)
@@ -62,14 +62,15 @@
 	})
 }
 
-// options have a new source of randomness for each start, as processes do.
+// options returns options with a new source of randomness for each start, as in
+// separate processes.
 func (m *model) options() Options {
 	o, _ := options(200)
 	o.Random = rand.NewChaCha8([32]byte{0: byte(m.rng.Uint32()), 1: byte(m.rng.Uint32())})
 	return o
 }
 
-// crash ends the process, and half of the time the machine too.
+// crash ends the process and, in half of the cases, also simulates a power failure.
 func (m *model) crash() {
 	if m.rng.IntN(2) == 0 {
 		m.disk.powerFailure()
@@ -77,8 +78,8 @@
 	m.disk.restart()
 }
 
-// reopen starts again and checks that the state is what was acknowledged, or
-// with the interrupted call.
+// reopen restarts and checks that the state is the acknowledged one, with or without
+// the interrupted call.
 func (m *model) reopen(interrupted consensus.Storage) {
 	o := m.options()
 	l, state, err := Open(folder, "ortigia", m.disk, o)
@@ -95,25 +96,25 @@
 	m.log, m.acked, m.voter = l, clone(found), state.Identity.Voter
 }
 
-// call does one random write and returns the state after it.
+// call performs one random write and returns the resulting state.
 func (m *model) call() consensus.Storage {
 	next := clone(m.acked)
 	last := next.Snapshot.Index + uint64(len(next.Entries))
 	kind := m.rng.IntN(5)
 	switch {
-	case kind == 0 && last > 0: // a snapshot of its own
+	case kind == 0 && last > 0: // a snapshot of the voter's own state
 		next.Snapshot = consensus.Snapshot{Index: last, Term: termAt(next, last), Configuration: voters("v1"), Data: []byte("{}")}
 		next.Entries = nil
 		_ = m.log.SaveSnapshot(next.Snapshot)
 		return next
-	case kind == 1: // a snapshot from the leader, of another history than this log's tail
+	case kind == 1: // a snapshot from the leader that conflicts with the tail of this log
 		ahead := uint64(1 + m.rng.IntN(len(next.Entries)+2))
 		next.Snapshot = consensus.Snapshot{Index: next.Snapshot.Index + ahead, Term: next.HardState.Term + 1, Configuration: voters("v2")}
 		next.Entries = nil
 		_ = m.log.SaveSnapshot(next.Snapshot)
 		return next
 	}
-	// New entries, from some index behind the snapshot on.
+	// New entries that start at some index after the snapshot.
 	from := last + 1 - uint64(m.rng.IntN(min(2, len(next.Entries))+1))
 	next.HardState.Term++
 	added := entries(from, from+uint64(m.rng.IntN(4)), next.HardState.Term)
--- a/wal/errors.go
+++ b/wal/errors.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// DamagedError refuses a file in which something that was synced before can't be
-// read any more. The voter must not start with it: it would have forgotten what
-// it confirmed. Replace the voter by a new one instead.
+// DamagedError reports a file in which previously synced data can't be read any
+// more. The voter must not start with it, because it would no longer know what it
+// had confirmed. It must be replaced by a new voter.
 type DamagedError struct {
 	File   string
 	Offset int64
@@ -16,7 +16,7 @@
 	return fmt.Sprintf("%s is damaged at offset %d: %s; restore it or replace this voter", e.File, e.Offset, e.Detail)
 }
 
-// LockedError refuses a folder that another process uses.
+// LockedError reports a folder that another process uses.
 type LockedError struct {
 	Folder string
 	cause  error
@@ -32,8 +32,8 @@
 
 // FailedError is returned by the call whose write or sync failed, and by every
 // call after it. After a failed sync the kernel may have dropped the unwritten
-// pages and report success the next time, so a second try proves nothing: the
-// process must stop, and start from what is on the disk.
+// pages and may report success the next time, so a retry proves nothing. The
+// process must stop and restart from the data on disk.
 type FailedError struct {
 	Folder string
 	cause  error
--- a/wal/frame.go
+++ b/wal/frame.go
@@ -7,13 +7,13 @@
 )
 
 // A segment file starts with segmentMagic, a random marker and the CRC-32C of
-// both. Then come frames:
+// both. It is followed by frames:
 //
 //	marker (4 bytes) | length (4) | CRC-32C of marker, length and content (4) | content
 //
-// One call of Append writes one frame and syncs it before the next. So a bad
-// frame at the end of the newest file was never acknowledged, while a bad frame
-// with a good one behind it was.
+// One call of Append writes one frame and syncs it before the next. An invalid
+// frame at the end of the newest file was therefore never acknowledged, while an
+// invalid frame that is followed by a valid one was.
 const (
 	segmentMagic = "cptlog01"
 	markerSize   = 4
@@ -25,14 +25,15 @@
 
 type marker [markerSize]byte
 
-// segmentHeader returns the start of a segment file.
+// segmentHeader returns the header of a segment file.
 func segmentHeader(m marker) []byte {
 	header := append([]byte(segmentMagic), m[:]...)
 	return binary.LittleEndian.AppendUint32(header, crc32.Checksum(header, castagnoli))
 }
 
-// readHeader returns the marker of a segment file. A wrong one would make all
-// frames unreadable and the whole file look like a torn write, so it is checked.
+// readHeader returns the marker of a segment file. The header has a checksum
+// because a wrong marker would make all frames unreadable, and the whole file would
+// look like a torn write.
 func readHeader(data []byte) (m marker, ok bool) {
 	if len(data) < headerSize {
 		return m, false
@@ -41,7 +42,7 @@
 	return m, bytes.Equal(data[:headerSize], segmentHeader(m))
 }
 
-// appendFrame appends the frame of a content that holds records.
+// appendFrame appends a frame with the given content, which contains records.
 func appendFrame(to []byte, m marker, content []byte) []byte {
 	start := len(to)
 	to = append(to, m[:]...)
@@ -67,8 +68,8 @@
 	return content, sum == binary.LittleEndian.Uint32(data[markerSize+4:])
 }
 
-// frameBehind reports whether a good frame starts anywhere in data.
-func frameBehind(data []byte, m marker) bool {
+// containsFrame reports whether a valid frame starts anywhere in data.
+func containsFrame(data []byte, m marker) bool {
 	for {
 		i := bytes.Index(data, m[:])
 		if i < 0 {
@@ -87,7 +88,7 @@
 	return append(to, record...)
 }
 
-// splitRecords returns the records of a frame's content.
+// splitRecords returns the records in a frame's content.
 func splitRecords(content []byte) ([][]byte, bool) {
 	var records [][]byte
 	for len(content) > 0 {
--- a/wal/fuzz_test.go
+++ b/wal/fuzz_test.go
@@ -8,9 +8,9 @@
 	"celeryport/consensus"
 )
 
-// FuzzReadSegment feeds files as a broken disk may return them. Whatever is
-// read must be what was framed: writing it again gives a file with the same
-// records, and the place of the cut lies inside the file.
+// FuzzReadSegment reads files as a faulty disk may return them. Encoding the records
+// that were read must give a file with the same records, and the offset of a torn
+// write must be within the file.
 func FuzzReadSegment(f *testing.F) {
 	m := marker{1, 2, 3, 4}
 	one := appendFrame(segmentHeader(m), m, joinRecords([][]byte{encodeHardState(consensus.HardState{Term: 3, Vote: "v"})}))
@@ -26,8 +26,8 @@
 		if err != nil {
 			return
 		}
-		if c.torn > int64(len(data)) || c.torn >= 0 && c.torn < int64(headerSize) {
-			t.Fatalf("cut at %d of %d", c.torn, len(data))
+		if c.tornOffset > int64(len(data)) || c.tornOffset >= 0 && c.tornOffset < int64(headerSize) {
+			t.Fatalf("torn at %d of %d", c.tornOffset, len(data))
 		}
 		again, err := readSegment("file", appendFrame(segmentHeader(c.marker), c.marker, joinRecords(c.records)), false)
 		if err != nil || len(again.records) != len(c.records) {
@@ -36,8 +36,8 @@
 	})
 }
 
-// FuzzReplay feeds records that passed the checksum but were written by another
-// version or a fault. Entries stay contiguous whatever comes.
+// FuzzReplay replays records with a valid checksum that were written by another
+// version or because of a fault. The entries must stay contiguous for any input.
 func FuzzReplay(f *testing.F) {
 	first, second := entry(1, 1), entry(2, 2)
 	f.Add(encodeEntry(&first), encodeEntry(&second))
--- a/wal/identity.go
+++ b/wal/identity.go
@@ -13,16 +13,17 @@
 	"celeryport/event"
 )
 
-// identityRandomBytes makes two identities of one instance differ for sure.
+// identityRandomBytes is the size of the random part of an identity, large enough
+// that two identities of one instance always differ.
 const identityRandomBytes = 8
 
-// Identity says which voter a data folder belongs to. It is made once, with a
-// random part, when the folder is empty. A lost disk takes the identity with it,
-// so that the instance can't come back as the voter whose votes and entries are
-// gone.
+// Identity identifies the voter that a data folder belongs to. It is created once,
+// with a random part, when the folder is empty. A lost disk also loses the
+// identity, so that the instance can't rejoin as the voter whose votes and entries
+// are lost.
 //
-// It also keeps groups apart: a folder that is started among the voters of
-// another group has an ID that nobody there knows.
+// The identity also separates groups: a voter whose folder belongs to another
+// group has an ID that is unknown to the group's members.
 type Identity struct {
 	Voter consensus.ID `json:"voter"`
 }
@@ -40,15 +41,15 @@
 	return WriteChecked(l.records.fs, l.identityPath(), data)
 }
 
-// loadIdentity reads the identity, or makes it in an empty folder. A folder with
-// records and without an identity was put together by hand.
+// loadIdentity reads the identity, or creates it in an empty folder. A folder that
+// has records but no identity was assembled by hand and is rejected.
 func (l *Log) loadIdentity(name string, used bool) (fresh bool, err error) {
 	data, err := ReadChecked(l.records.fs, l.identityPath())
 	if errors.Is(err, fs.ErrNotExist) {
 		if used {
 			return false, &DamagedError{l.identityPath(), 0, "missing, but the folder holds records"}
 		}
-		return true, l.makeIdentity(name)
+		return true, l.createIdentity(name)
 	}
 	if err != nil {
 		return false, err
@@ -59,7 +60,7 @@
 	return false, nil
 }
 
-func (l *Log) makeIdentity(name string) error {
+func (l *Log) createIdentity(name string) error {
 	random := make([]byte, identityRandomBytes)
 	if _, err := io.ReadFull(l.records.options.Random, random); err != nil {
 		return err
--- a/wal/load.go
+++ b/wal/load.go
@@ -7,11 +7,12 @@
 	"celeryport/event"
 )
 
-// load reads the files from the newest checkpoint on and writes them again into
-// a new one. What was read may be in the memory of the kernel only: the process
-// before may have been killed between a write and its sync, or its sync failed
-// and the kernel dropped the pages from its list. Taken as synced, it would be
-// confirmed to others and then lost with the next power failure.
+// load reads the files from the newest checkpoint on and rewrites their records to
+// a new checkpoint. The data read may exist only in the kernel's page cache: the
+// previous process may have been killed between a write and its sync, or its sync
+// failed and the kernel marked the pages as clean. If that data were treated as
+// synced, it would be confirmed to other voters and then lost in the next power
+// failure.
 func (r *Records) load() ([][]byte, error) {
 	segments, err := r.segments()
 	if err != nil {
@@ -53,7 +54,7 @@
 	return nil, nil
 }
 
-// checkComplete refuses a log of which a file is missing.
+// checkComplete rejects a log with a missing file.
 func (r *Records) checkComplete(segments []segment) error {
 	for i, s := range segments {
 		if want := segments[0].number + uint64(i); s.number != want {
@@ -73,9 +74,9 @@
 	if err != nil {
 		return content{}, err
 	}
-	if c.torn >= 0 {
+	if c.tornOffset >= 0 {
 		eventTornTail.Log(r.options.Logger, event.Fields{
-			"file": filepath.Base(path), "offset": c.torn, "bytes": int64(len(data)) - c.torn,
+			"file": filepath.Base(path), "offset": c.tornOffset, "bytes": int64(len(data)) - c.tornOffset,
 		})
 	}
 	return c, nil
--- a/wal/log.go
+++ b/wal/log.go
@@ -8,24 +8,24 @@
 	"celeryport/consensus"
 )
 
-// Log is the synced storage of one voter: its log, its newest snapshot and its
-// identity, in a folder of its own. It is not safe for concurrent use.
+// Log is the durable storage of one voter: its log, newest snapshot and identity,
+// in a separate folder. It is not safe for concurrent use.
 type Log struct {
 	folder  string
 	records *Records
-	state   consensus.Storage // what is synced
+	state   consensus.Storage // synced state
 	id      Identity
 }
 
-// State is what Open found.
+// State is the state that Open read.
 type State struct {
 	Identity Identity
-	Fresh    bool // the identity was made just now: the folder was empty
+	Fresh    bool // the folder was empty and the identity was just created
 	Storage  consensus.Storage
 }
 
-// Open locks the folder and reads what is synced there. name is the name of the
-// instance, for the identity that is made if the folder is empty.
+// Open locks the folder and reads its synced state. name is the name of the
+// instance, used for the identity that is created if the folder is empty.
 func Open(folder, name string, fs FS, options Options) (*Log, State, error) {
 	records, raw, err := OpenRecords(folder, fs, options)
 	if err != nil {
@@ -50,14 +50,14 @@
 		}
 	}
 	replayed := len(l.state.Entries)
-	l.state.Entries = behind(l.state.Entries, snapshot)
+	l.state.Entries = entriesAfter(l.state.Entries, snapshot)
 	l.state.Snapshot = snapshot
 	if err := l.checkStart(); err != nil {
 		return false, err
 	}
 	if len(l.state.Entries) < replayed {
-		// A crash between the snapshot and the log that was cut for it: new
-		// entries would not follow those that the log file still holds.
+		// After a crash between the write of the snapshot and the truncation of the
+		// log, new entries would not follow those that the log file still contains.
 		if err := l.records.Rewrite(l.encodeState()); err != nil {
 			return false, err
 		}
@@ -65,8 +65,8 @@
 	return l.loadIdentity(name, len(raw) > 0 || snapshot.Index > 0)
 }
 
-// checkStart refuses a log whose first entry does not follow the snapshot: the
-// snapshot that the log was cut for is gone.
+// checkStart rejects a log whose first entry does not follow the snapshot, which
+// means that the snapshot for which the log was truncated is lost.
 func (l *Log) checkStart() error {
 	if len(l.state.Entries) == 0 || l.state.Entries[0].Index == l.state.Snapshot.Index+1 {
 		return nil
@@ -74,8 +74,8 @@
 	return &DamagedError{l.snapshotPath(), 0, "the snapshot before the first entry is missing or too old"}
 }
 
-// Append syncs a hard state, which may be nil, and entries in one write. An
-// entry at an existing index replaces it and all behind.
+// Append writes and syncs a hard state, which may be nil, and entries in one write.
+// An entry at an existing index replaces that entry and all after it.
 func (l *Log) Append(hardState *consensus.HardState, entries []consensus.Entry) error {
 	var records [][]byte
 	if hardState != nil {
@@ -90,10 +90,10 @@
 	if err := l.records.Append(records...); err != nil {
 		return err
 	}
-	return l.note(hardState, entries)
+	return l.applyAppend(hardState, entries)
 }
 
-func (l *Log) note(hardState *consensus.HardState, entries []consensus.Entry) error {
+func (l *Log) applyAppend(hardState *consensus.HardState, entries []consensus.Entry) error {
 	if hardState != nil {
 		l.state.HardState = *hardState
 	}
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// SaveSnapshot replaces the log up to the snapshot, of this voter's own state or
-// received from the leader.
+// SaveSnapshot stores a snapshot and drops the log entries up to it. The snapshot
+// was taken from this voter's own state or received from the leader.
 func (l *Log) SaveSnapshot(s consensus.Snapshot) error {
 	if l.records.failed != nil {
 		return l.records.failed
@@ -116,13 +116,13 @@
 		return l.records.fail(err)
 	}
 	l.state.Snapshot = s
-	l.state.Entries = behind(l.state.Entries, s)
+	l.state.Entries = entriesAfter(l.state.Entries, s)
 	return l.records.Rewrite(l.encodeState())
 }
 
-// Renew writes all that the log holds to new files and syncs them. After a write
-// or sync failed, what a new Open reads may stand in the memory of the machine
-// only; once Renew has returned, it is on the disk.
+// Renew writes the whole state to new files and syncs them. After a failed write or
+// sync, the data read by a new Open may exist only in the page cache; once Renew
+// has returned, it is on disk.
 func (l *Log) Renew() error {
 	if l.records.failed != nil {
 		return l.records.failed
@@ -135,9 +135,10 @@
 	return l.records.Rewrite(l.encodeState())
 }
 
-// behind returns the entries that follow a snapshot. If the log does not hold
-// the snapshot's last entry, what it has behind belongs to another history.
-func behind(entries []consensus.Entry, s consensus.Snapshot) []consensus.Entry {
+// entriesAfter returns the entries that follow a snapshot. If the log does not
+// contain the snapshot's last entry, its later entries belong to a different
+// history and are dropped.
+func entriesAfter(entries []consensus.Entry, s consensus.Snapshot) []consensus.Entry {
 	if len(entries) == 0 || s.Index == 0 {
 		return entries
 	}
@@ -163,11 +164,11 @@
 	return records
 }
 
-// Size returns the bytes of the log behind the snapshot; a driver takes a new one
-// when it has grown large, because all of it is in memory too.
+// Size returns the size of the log after the snapshot in bytes. A driver takes a new
+// snapshot when the log has grown large, because all of it is also in memory.
 func (l *Log) Size() int64 { return l.records.Size() }
 
-// Failed returns the error that ended the log, or nil.
+// Failed returns the error after which the log accepts no more writes, or nil.
 func (l *Log) Failed() error {
 	if l.records.failed == nil {
 		return nil
@@ -175,7 +176,7 @@
 	return l.records.failed
 }
 
-// Close releases the folder.
+// Close closes the log and unlocks the folder.
 func (l *Log) Close() error { return l.records.Close() }
 
 func (l *Log) snapshotPath() string { return filepath.Join(l.folder, "snapshot") }
--- a/wal/log_test.go
+++ b/wal/log_test.go
@@ -18,7 +18,7 @@
 
 const folder = "/data/log"
 
-// options returns deterministic options and the log lines they cause.
+// options returns deterministic options and a hook that records the log lines.
 func options(segmentBytes int64) (Options, *logtest.Hook) {
 	logger, hook := logtest.NewNullLogger()
 	logger.SetLevel(logrus.DebugLevel)
@@ -63,7 +63,7 @@
 	return c
 }
 
-// newestFile returns the log file that is written now.
+// newestFile returns the log file that is currently written.
 func newestFile(t *testing.T, disk *memFS) string {
 	t.Helper()
 	names, _ := disk.ReadFolder(folder)
@@ -102,9 +102,9 @@
 	}
 }
 
-// A log of many files is asked for its size, to decide when to rewrite it. Told
-// the size of the newest file only, its owner would never do so, and the disk
-// would fill up.
+// The owner of a log uses its size to decide when to rewrite it. If Size covered
+// only the newest of many files, the log would never be rewritten and the disk would
+// fill up.
 func TestSizeCoversAllFiles(t *testing.T) {
 	disk := newMemFS(7)
 	l, _ := open(t, disk)
@@ -129,8 +129,8 @@
 	}
 }
 
-// The machine loses power in the middle of a write. The voter must start again
-// by itself with everything that it confirmed, wherever the write broke off.
+// The machine loses power during a write. Wherever the write was interrupted, the
+// voter must restart without help and with everything that it confirmed.
 func TestTornTailIsCut(t *testing.T) {
 	whole := newMemFS(2)
 	l, _ := open(t, whole)
@@ -159,9 +159,9 @@
 	}
 }
 
-// A disk returns wrong bytes in the middle of the log. A voter that went on
-// without them would have forgotten changes and votes that it confirmed.
-func TestDamagedMiddleIsRefused(t *testing.T) {
+// A disk returns corrupted data in the middle of the log. A voter that continued
+// without it would lose changes and votes that it confirmed.
+func TestDamagedMiddleIsRejected(t *testing.T) {
 	disk := newMemFS(3)
 	l, _ := open(t, disk)
 	for i := uint64(1); i <= 3; i++ {
@@ -184,7 +184,8 @@
 	}
 }
 
-// One of several log files is gone, by hand or by a broken file system.
+// One of several log files is missing, because it was deleted or because of a faulty
+// file system.
 func TestMissingFileIsRefused(t *testing.T) {
 	for _, victim := range []segment{{1, true}, {2, false}} {
 		disk := newMemFS(3)
@@ -202,8 +203,8 @@
 	}
 }
 
-// A sync fails, or the disk is full. The voter must stop, loudly: asking the
-// kernel again would be answered with success for pages that it has dropped.
+// A sync fails or the disk is full. The voter must stop and log the failure. A retry
+// of the sync would succeed for pages that the kernel has already dropped.
 func TestFailedWriteStopsTheLog(t *testing.T) {
 	faults := map[string]func(*memFS){
 		"failed sync": func(m *memFS) { m.failSync = true },
@@ -226,7 +227,7 @@
 			}
 			disk.failSync, disk.space = false, -1
 			if l.Append(nil, entries(2, 2, 1)) == nil || l.SaveSnapshot(consensus.Snapshot{Index: 1}) == nil {
-				t.Fatalf("%s: the log goes on", name)
+				t.Fatalf("%s: the log accepts writes after the failure", name)
 			}
 			disk.restart()
 			if power {
@@ -237,7 +238,7 @@
 			if len(kept) == 0 || kept[0].Index != 1 {
 				t.Fatalf("%s: entries after restart %v", name, kept)
 			}
-			// Whatever the restarted voter now shows it may confirm, so that must
+			// The restarted voter may confirm everything that it has read, so that must
 			// survive the next power failure.
 			appendOne(t, again, uint64(len(kept))+1)
 			disk.powerFailure()
@@ -248,8 +249,8 @@
 	}
 }
 
-// The data folder is started twice by a mistaken unit file. Both processes would
-// vote as the same voter.
+// The data folder is used by two processes because of a misconfigured unit file. Both
+// would vote as the same voter.
 func TestFolderIsLockedAgainstASecondProcess(t *testing.T) {
 	path := t.TempDir()
 	o, _ := options(0)
@@ -275,8 +276,8 @@
 	}
 }
 
-// A voter's disk is replaced by an empty one. If the instance came back under
-// its old name, it could vote again in a term in which it has voted.
+// A voter's disk is replaced by an empty one. If the instance rejoined under its old
+// ID, it could vote again in a term in which it has already voted.
 func TestLostFolderGetsANewIdentity(t *testing.T) {
 	o, _ := options(0)
 	_, first, err := Open(folder, "ortigia", newMemFS(5), o)
@@ -297,7 +298,8 @@
 	}
 }
 
-// The snapshot is damaged or gone, while the log before it was removed long ago.
+// The snapshot is damaged or missing after the log entries that it covers were
+// removed.
 func TestMissingSnapshotIsRefused(t *testing.T) {
 	for _, damage := range []func(m *memFS, path string){
 		func(m *memFS, path string) { delete(m.names, path) },
--- a/wal/memfs_test.go
+++ b/wal/memfs_test.go
@@ -13,18 +13,18 @@
 
 var errCrashed = errors.New("the machine lost power")
 
-// memFS is a disk behind the page cache of a kernel. What is not synced is lost
-// at a power failure but for a random part, and a failed sync marks its pages
-// clean without having written them, as kernels do.
+// memFS simulates a disk with a kernel page cache. A power failure loses unsynced
+// data except for a random part. A failed sync marks its pages as clean without
+// writing them, as kernels do.
 type memFS struct {
-	names   map[string]*memFile // as processes see them
-	durable map[string]*memFile // as after a power failure
+	names   map[string]*memFile // files as seen by processes
+	durable map[string]*memFile // files after a power failure
 	locked  map[string]bool
 	rng     *rand.Rand
-	// steps counts down with each change; at zero the machine loses power.
-	// Negative: never.
+	// steps is decremented with each change; at zero the machine loses power.
+	// Negative means never.
 	steps    int
-	space    int // bytes that still fit; negative: no limit
+	space    int // remaining space in bytes; negative means no limit
 	failSync bool
 }
 
@@ -32,7 +32,7 @@
 	fs      *memFS
 	data    []byte
 	durable []byte
-	lost    int // bytes behind durable that no later sync writes
+	lost    int // bytes after durable that no later sync writes
 }
 
 func newMemFS(seed uint64) *memFS {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// powerFailure loses what is not synced.
+// powerFailure drops unsynced data.
 func (m *memFS) powerFailure() {
 	m.names = maps.Clone(m.durable)
 	for _, f := range m.names {
@@ -64,7 +64,7 @@
 	m.restart()
 }
 
-// restart ends the process only: the page cache stays.
+// restart ends only the process; the page cache is kept.
 func (m *memFS) restart() {
 	m.locked = map[string]bool{}
 	m.steps, m.space, m.failSync = -1, -1, false
--- a/wal/osfs.go
+++ b/wal/osfs.go
@@ -8,14 +8,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// The permissions of what the package creates: the owner only, because the
-// state holds answers of organisations.
+// Permissions of created files and folders. Access is limited to the owner because
+// the state contains answers of organisations.
 const (
 	filePermissions   = 0o600
 	folderPermissions = 0o700
 )
 
-// OS is the file system of the machine.
+// OS is the file system of the operating system.
 type OS struct{}
 
 // Append implements FS.
@@ -64,8 +64,8 @@
 // Remove implements FS.
 func (OS) Remove(name string) error { return os.Remove(name) }
 
-// Lock implements FS. The lock belongs to the open file, so it is gone when the
-// process is, however it ended.
+// Lock implements FS. The lock belongs to the open file, so the kernel releases it
+// when the process ends for any reason.
 func (OS) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_RDWR, filePermissions)
 	if err != nil {
--- a/wal/records.go
+++ b/wal/records.go
@@ -12,20 +12,20 @@
 	"celeryport/event"
 )
 
-// lockFile is locked as long as a process uses the folder.
+// lockFile is the name of the file that a process locks while it uses the folder.
 const lockFile = "lock"
 
-// DefaultSegmentBytes is the size from which on a new file is begun.
+// DefaultSegmentBytes is the size at which a new segment file is started.
 const DefaultSegmentBytes = 16 << 20
 
-// Options set up a record log.
+// Options configure a record log.
 type Options struct {
 	Logger       logrus.FieldLogger // required
-	Random       io.Reader          // nil: crypto/rand
-	SegmentBytes int64              // zero: DefaultSegmentBytes
+	Random       io.Reader          // defaults to crypto/rand
+	SegmentBytes int64              // defaults to DefaultSegmentBytes
 }
 
-// Records is a log of opaque records in a folder of its own. It is not safe for
+// Records is a log of opaque records in a separate folder. It is not safe for
 // concurrent use.
 type Records struct {
 	folder  string
@@ -35,14 +35,14 @@
 	current segment
 	marker  marker
 	file    File
-	size    int64 // of the file that is written now
-	total   int64 // of all files
+	size    int64 // size of the current file
+	total   int64 // total size of all files
 	failed  *FailedError
 }
 
-// OpenRecords locks the folder and returns every record that was appended
-// since the last Rewrite, in order. It cuts off a torn last write and refuses
-// damage with a DamagedError.
+// OpenRecords locks the folder and returns all records appended since the last
+// Rewrite, in order. It truncates an incomplete last write and returns a
+// DamagedError for any other damage.
 func OpenRecords(folder string, fs FS, options Options) (*Records, [][]byte, error) {
 	if options.Random == nil {
 		options.Random = rand.Reader
@@ -65,13 +65,13 @@
 	return r, records, nil
 }
 
-// Append writes records in one frame and returns when they are synced.
+// Append writes records in one frame and returns once they are synced.
 func (r *Records) Append(records ...[]byte) error {
 	if r.failed != nil {
 		return r.failed
 	}
 	if r.size >= r.options.SegmentBytes {
-		if err := r.begin(segment{r.current.number + 1, false}, nil); err != nil {
+		if err := r.startSegment(segment{r.current.number + 1, false}, nil); err != nil {
 			return r.fail(err)
 		}
 	}
@@ -84,24 +84,24 @@
 	return nil
 }
 
-// Rewrite replaces the whole log by the given records.
+// Rewrite replaces the whole log with the given records.
 func (r *Records) Rewrite(records [][]byte) error {
 	if r.failed != nil {
 		return r.failed
 	}
 	next := segment{r.current.number + 1, true}
 	r.total = 0
-	if err := r.begin(next, records); err != nil {
+	if err := r.startSegment(next, records); err != nil {
 		return r.fail(err)
 	}
 	return r.removeBefore(next)
 }
 
-// Size returns the bytes of the whole log, so that its owner knows when to
-// rewrite it. It grows over all files and shrinks with Rewrite only.
+// Size returns the total size of the log in bytes, from which its owner decides when
+// to rewrite it. It covers all files and decreases only with Rewrite.
 func (r *Records) Size() int64 { return r.total }
 
-// Close releases the folder.
+// Close closes the log and unlocks the folder.
 func (r *Records) Close() error {
 	var err error
 	if r.file != nil {
@@ -110,16 +110,16 @@
 	return errors.CombineErrors(err, r.lock.Close())
 }
 
-// fail refuses every later call and logs why.
+// fail logs the cause of a failure and makes every later call return it.
 func (r *Records) fail(cause error) error {
 	r.failed = &FailedError{r.folder, cause}
 	eventFailed.Log(r.options.Logger, event.Fields{"folder": r.folder, "error": cause.Error()})
 	return r.failed
 }
 
-// begin goes on in a new file that starts with the given records. The file and
-// its name last before anything more in it is acknowledged.
-func (r *Records) begin(s segment, records [][]byte) error {
+// startSegment continues the log in a new file that starts with the given records.
+// The file and its name are durable before anything else in it is acknowledged.
+func (r *Records) startSegment(s segment, records [][]byte) error {
 	var m marker
 	if _, err := io.ReadFull(r.options.Random, m[:]); err != nil {
 		return err
@@ -144,8 +144,8 @@
 	return old.Close()
 }
 
-// removeBefore removes files that a checkpoint replaced. A failure leaves files
-// that the next start ignores and removes.
+// removeBefore removes the files that a checkpoint replaced. If that fails, the
+// remaining files are ignored and removed at the next start.
 func (r *Records) removeBefore(keep segment) error {
 	names, err := r.fs.ReadFolder(r.folder)
 	if err != nil {
--- a/wal/segment.go
+++ b/wal/segment.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// The suffixes of the package's files.
+// File name suffixes.
 const (
-	logSuffix        = ".log"        // goes on where the file before ends
-	checkpointSuffix = ".checkpoint" // replaces all files before it
-	temporarySuffix  = ".tmp"        // not complete: removed at the next start
+	logSuffix        = ".log"        // continues the previous file
+	checkpointSuffix = ".checkpoint" // replaces all previous files
+	temporarySuffix  = ".tmp"        // incomplete; removed at the next start
 )
 
-// segment names one file of a record log.
+// segment identifies one file of a record log.
 type segment struct {
 	number     uint64
 	checkpoint bool
@@ -37,18 +37,18 @@
 	return segment{number, suffix == checkpointSuffix}, err == nil
 }
 
-// content is what a segment file holds.
+// content is the decoded content of a segment file.
 type content struct {
-	marker  marker
-	records [][]byte
-	torn    int64 // offset from which the newest file must be cut; negative: nowhere
+	marker     marker
+	records    [][]byte
+	tornOffset int64 // offset of a torn write in the newest file; negative if there is none
 }
 
-// readSegment decodes a segment file. In the newest file an incomplete last
-// frame is a torn write; anything else that can't be read is damage.
+// readSegment decodes a segment file. In the newest file, an incomplete last frame
+// is a torn write; any other unreadable data is damage.
 func readSegment(file string, data []byte, newest bool) (content, error) {
 	m, ok := readHeader(data)
-	c := content{marker: m, torn: -1}
+	c := content{marker: m, tornOffset: -1}
 	if !ok {
 		return c, &DamagedError{file, 0, "no valid header"}
 	}
@@ -56,7 +56,7 @@
 	for offset < len(data) {
 		frame, ok := readFrame(data[offset:], c.marker)
 		if !ok {
-			return c.tail(file, data, offset, newest)
+			return c.checkTail(file, data, offset, newest)
 		}
 		records, ok := splitRecords(frame)
 		if !ok {
@@ -68,14 +68,14 @@
 	return c, nil
 }
 
-// tail decides whether the unreadable rest of a file is a torn write.
-func (c content) tail(file string, data []byte, offset int, newest bool) (content, error) {
+// checkTail determines whether the unreadable rest of a file is a torn write.
+func (c content) checkTail(file string, data []byte, offset int, newest bool) (content, error) {
 	if !newest {
 		return c, &DamagedError{file, int64(offset), "bad checksum or length, and newer files exist"}
 	}
-	if frameBehind(data[offset+1:], c.marker) {
+	if containsFrame(data[offset+1:], c.marker) {
 		return c, &DamagedError{file, int64(offset), "bad checksum or length, and newer records follow"}
 	}
-	c.torn = int64(offset)
+	c.tornOffset = int64(offset)
 	return c, nil
 }
--- a/wal/snapshotfile.go
+++ b/wal/snapshotfile.go
@@ -9,8 +9,8 @@
 	"celeryport/consensus"
 )
 
-// The snapshot is one file that is replaced whole. It is synced before the log
-// that it covers is removed.
+// The snapshot is a single file that is replaced atomically. It is synced before the
+// log entries that it covers are removed.
 
 func (l *Log) writeSnapshot(s consensus.Snapshot) error {
 	data, err := json.Marshal(s)
