--- a/claim/claimant.go
+++ b/claim/claimant.go
@@ -11,8 +11,8 @@
 type State uint8
 
 const (
-	// Asking means that the voters have not decided yet.
-	Asking State = iota
+	// Undecided means that the voters have not decided the claim yet.
+	Undecided State = iota
 	// Won means that this holder, and no other, may send before the deadline.
 	Won
 	// Lost means that another holder has the key or may have it.
@@ -104,7 +104,7 @@
 }
 
 func (c *Claimant) handleVoteResponse(now time.Time, m Message) []Message {
-	if m.Holder != c.request.Holder || c.state != Asking || !c.retryAt.IsZero() {
+	if m.Holder != c.request.Holder || c.state != Undecided || !c.retryAt.IsZero() {
 		if m.Answer == Granted && c.abandoned(m.Holder) {
 			// The voter granted the vote after the release was sent. Release it again.
 			return []Message{c.message(SettleRequest, m.From, m.Holder, Outcome{Kind: Released})}
@@ -128,7 +128,7 @@
 // send.
 func (c *Claimant) abandoned(h Holder) bool {
 	if h == c.request.Holder {
-		return c.state != Asking && c.state != Won || !c.retryAt.IsZero()
+		return c.state != Undecided && c.state != Won || !c.retryAt.IsZero()
 	}
 	h.Attempt = c.request.Holder.Attempt
 	return h == c.request.Holder
@@ -136,7 +136,7 @@
 
 // Tick processes timers that have expired and returns the messages to send.
 func (c *Claimant) Tick(now time.Time) []Message {
-	if c.state != Asking {
+	if c.state != Undecided {
 		return c.delivery.tick(c, now)
 	}
 	if !now.Before(c.request.Deadline) {
@@ -164,7 +164,7 @@
 
 // NextTick returns the time of the next required Tick, or zero if none is needed.
 func (c *Claimant) NextTick() time.Time {
-	if c.state != Asking {
+	if c.state != Undecided {
 		return c.delivery.next
 	}
 	next := c.resendAt
@@ -183,7 +183,7 @@
 	if e.Number <= c.request.Epoch.Number {
 		return nil
 	}
-	if c.state != Asking {
+	if c.state != Undecided {
 		c.request.Epoch = e // outcomes are sent to the new voters too
 		return nil
 	}
--- a/control/claimdriver.go
+++ b/control/claimdriver.go
@@ -20,7 +20,7 @@
 // run claims until the voters have decided or ctx ends.
 func (d *claimDriver) run(ctx context.Context) ClaimResult {
 	d.send(ctx, d.claimant.Start(d.node.clock.Now()))
-	for d.claimant.Result().State == claim.Asking {
+	for d.claimant.Result().State == claim.Undecided {
 		if !d.advance(ctx) {
 			// The caller has left: what was granted is freed in the background.
 			go d.drive(context.WithoutCancel(ctx))
@@ -47,7 +47,7 @@
 		d.send(ctx, d.claimant.Tick(d.node.clock.Now()))
 	case <-ctx.Done():
 		d.send(context.WithoutCancel(ctx), d.claimant.Tick(d.node.clock.Now()))
-		return d.claimant.Result().State != claim.Asking
+		return d.claimant.Result().State != claim.Undecided
 	}
 	return true
 }
