--- a/consensus/confighistory.go
+++ b/consensus/confighistory.go
@@ -13,7 +13,7 @@
 	config Configuration
 }
 
-// current returns the configuration in force.
+// current returns the configuration that is in effect.
 func (h *configHistory) current() *Configuration {
 	if len(h.changes) == 0 {
 		return &h.base
@@ -30,7 +30,7 @@
 	return h.changes[len(h.changes)-1].index
 }
 
-// at returns the configuration in force at a log index.
+// at returns the configuration in effect at a log index.
 func (h *configHistory) at(index uint64) Configuration {
 	latest := h.base
 	for _, c := range h.changes {
