--- a/datagram/datagram.go
+++ b/datagram/datagram.go
@@ -1,6 +1,6 @@
-// Package datagram seals the datagrams that the instances of a fleet send each
-// other: whoever can send to a port could otherwise make upstreams look busy or
-// place calls.
+// Package datagram authenticates the datagrams that the instances of a fleet send to
+// each other. Without authentication, anyone who can reach the port could make
+// upstreams look busy or influence where calls are placed.
 package datagram
 
 import (
@@ -11,56 +11,56 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind says what a datagram holds.
+// Kind is the type of the content of a datagram.
 type Kind byte
 
 const (
-	// Loads is a loadshare.Report.
+	// Loads carries a loadshare.Report.
 	Loads Kind = 1 + iota
-	// Ask is an arbiter.Request.
+	// Ask carries an arbiter.Request.
 	Ask
-	// Answer is an arbiter.Answer.
+	// Answer carries an arbiter.Answer.
 	Answer
-	// LoadsToRelay is a loadshare.Report that the one who gets it sends on within its
-	// availability zone.
+	// LoadsToRelay carries a loadshare.Report that the receiver relays to the instances of
+	// its availability zone.
 	LoadsToRelay
-	// Rates is a throttle.Message.
+	// Rates carries a throttle.Message.
 	Rates
-	// RatesToRelay is a throttle.Message that the one who gets it sends on within its
-	// availability zone.
+	// RatesToRelay carries a throttle.Message that the receiver relays to the instances of
+	// its availability zone.
 	RatesToRelay
 )
 
-// sumBytes is the size of the authentication code; guessing one takes 10^19
-// datagrams.
-const sumBytes = 8
+// macBytes is the size of the truncated HMAC; guessing one takes about 10^19 datagrams.
+const macBytes = 8
 
-// ErrForeign says that a datagram is not one of an instance of this fleet.
-var ErrForeign = errors.New("not a datagram of an instance of this fleet")
+// ErrUnauthenticated reports a datagram that is too short or not authenticated with
+// the key of this fleet.
+var ErrUnauthenticated = errors.New("datagram does not come from an instance of this fleet")
 
-// Seal returns a datagram with a content, authenticated by a key that all
-// instances share.
+// Seal returns a datagram with the kind and the content, authenticated with the secret
+// that all instances of the fleet share. The content is not encrypted.
 func Seal(secret string, kind Kind, content []byte) []byte {
-	data := make([]byte, 0, 1+len(content)+sumBytes)
+	data := make([]byte, 0, 1+len(content)+macBytes)
 	data = append(data, byte(kind))
 	data = append(data, content...)
-	return append(data, sum(secret, data)...)
+	return append(data, mac(secret, data)...)
 }
 
-// Open returns the content of a datagram.
+// Open verifies a datagram and returns its kind and content.
 func Open(secret string, data []byte) (Kind, []byte, error) {
-	if len(data) < 1+sumBytes {
-		return 0, nil, ErrForeign
+	if len(data) < 1+macBytes {
+		return 0, nil, ErrUnauthenticated
 	}
-	body, code := data[:len(data)-sumBytes], data[len(data)-sumBytes:]
-	if subtle.ConstantTimeCompare(code, sum(secret, body)) != 1 {
-		return 0, nil, ErrForeign
+	body, code := data[:len(data)-macBytes], data[len(data)-macBytes:]
+	if subtle.ConstantTimeCompare(code, mac(secret, body)) != 1 {
+		return 0, nil, ErrUnauthenticated
 	}
 	return Kind(body[0]), body[1:], nil
 }
 
-func sum(secret string, data []byte) []byte {
-	code := hmac.New(sha256.New, []byte(secret))
-	code.Write(data)
-	return code.Sum(nil)[:sumBytes]
+func mac(secret string, data []byte) []byte {
+	hasher := hmac.New(sha256.New, []byte(secret))
+	hasher.Write(data)
+	return hasher.Sum(nil)[:macBytes]
 }
