--- a/datagram/datagram.go
+++ b/datagram/datagram.go
@@ -17,8 +17,8 @@
 const (
 	// Loads carries a loadshare.Report.
 	Loads Kind = 1 + iota
-	// Ask carries an arbiter.Request.
-	Ask
+	// ArbiterRequest carries an arbiter.Request.
+	ArbiterRequest
 	// Answer carries an arbiter.Answer.
 	Answer
 	// LoadsToRelay carries a loadshare.Report that the receiver relays to the instances of
--- a/forward/arbitration_ask.go
+++ b/forward/arbitration_ask.go
@@ -123,7 +123,7 @@
 	if err != nil {
 		return // treated like a lost datagram: after the time-out another instance is asked
 	}
-	s.sendSealed(net.UDPAddrFromAddrPort(to), datagram.Ask, ask)
+	s.sendSealed(net.UDPAddrFromAddrPort(to), datagram.ArbiterRequest, ask)
 }
 
 // sendSealed sends a message on a best-effort basis; the asking instance repeats an ask that
--- a/forward/reporting.go
+++ b/forward/reporting.go
@@ -108,7 +108,7 @@
 		}
 	case datagram.Rates, datagram.RatesToRelay:
 		return s.handleRates(from, kind, content)
-	case datagram.Ask:
+	case datagram.ArbiterRequest:
 		ask, err := arbiter.DecodeRequest(content)
 		if err != nil {
 			return err
--- a/forward/stale_arbiter_test.go
+++ b/forward/stale_arbiter_test.go
@@ -25,7 +25,7 @@
 
 func (a *staleArbiter) WriteTo(data []byte, _ net.Addr) (int, error) {
 	kind, content, err := datagram.Open("key", data)
-	if err != nil || kind != datagram.Ask {
+	if err != nil || kind != datagram.ArbiterRequest {
 		return len(data), err
 	}
 	ask, err := arbiter.DecodeRequest(content)
