--- a/datagram/datagram.go
+++ b/datagram/datagram.go
@@ -19,8 +19,8 @@
 	Loads Kind = 1 + iota
 	// ArbiterRequest carries an arbiter.Request.
 	ArbiterRequest
-	// Answer carries an arbiter.Answer.
-	Answer
+	// ArbiterAnswer carries an arbiter.ArbiterAnswer.
+	ArbiterAnswer
 	// LoadsToRelay carries a loadshare.Report that the receiver relays to the instances of
 	// its availability zone.
 	LoadsToRelay
--- a/forward/arbitration.go
+++ b/forward/arbitration.go
@@ -104,7 +104,7 @@
 		s.handleAnswer(answer)
 		return
 	}
-	s.sendSealed(to, datagram.Answer, answer)
+	s.sendSealed(to, datagram.ArbiterAnswer, answer)
 }
 
 // decide places waiting asks as far as engines are free.
--- a/forward/reporting.go
+++ b/forward/reporting.go
@@ -114,7 +114,7 @@
 			return err
 		}
 		s.handleAsk(from, ask)
-	case datagram.Answer:
+	case datagram.ArbiterAnswer:
 		answer, err := arbiter.DecodeAnswer(content)
 		if err != nil {
 			return err
