--- a/entry/admit.go
+++ b/entry/admit.go
@@ -11,7 +11,7 @@
 	"celeryport/verdict"
 )
 
-// unknown is reported as the organisation or class of a request that named no valid
+// unknownName is reported as the organisation or class of a request that named no valid
 // one.
 const unknownName = "unknown"
 
@@ -33,38 +33,38 @@
 // the body.
 func (s *Server) admit(ctx *fasthttp.RequestCtx, id string, kind request.Kind) (*incomingRequest, *verdict.Error) {
 	now := s.options.Clock.Now()
-	a := &incomingRequest{request: &request.Request{
+	in := &incomingRequest{request: &request.Request{
 		ID: id, Kind: kind, Organisation: unknownName, Class: unknownName, Arrival: now, Deadline: now,
 	}}
-	return a, s.checkAdmission(ctx, a)
+	return in, s.checkAdmission(ctx, in)
 }
 
-func (s *Server) checkAdmission(ctx *fasthttp.RequestCtx, a *incomingRequest) *verdict.Error {
+func (s *Server) checkAdmission(ctx *fasthttp.RequestCtx, in *incomingRequest) *verdict.Error {
 	if s.draining.refusing() {
 		return verdict.Refuse(verdict.ReasonDraining, 0, "this instance is shutting down")
 	}
 	view := s.options.Plane.View()
-	if view == nil || view.Tree == nil || a.request.Arrival.After(view.LeaseUntil) {
+	if view == nil || view.Tree == nil || in.request.Arrival.After(view.LeaseUntil) {
 		return verdict.Refuse(verdict.ReasonNoLease, noLeaseRetryAfter, "this instance can't confirm its settings")
 	}
-	a.tree = view.Tree
+	in.tree = view.Tree
 	organisation, err := authenticate(ctx, view.Tree)
 	if err != nil {
 		return err
 	}
-	a.request.Organisation = organisation
-	return a.applyClass(ctx)
+	in.request.Organisation = organisation
+	return in.applyClass(ctx)
 }
 
 // applyClass resolves the class that the caller names and applies its settings.
-func (a *incomingRequest) applyClass(ctx *fasthttp.RequestCtx) *verdict.Error {
+func (in *incomingRequest) applyClass(ctx *fasthttp.RequestCtx) *verdict.Error {
 	class := string(ctx.Request.Header.Peek(headerClass))
-	resolved, err := a.tree.Resolve(a.request.Organisation, class)
+	resolved, err := in.tree.Resolve(in.request.Organisation, class)
 	if err != nil {
 		return err
 	}
-	a.resolved = resolved
-	r := a.request
+	in.resolved = resolved
+	r := in.request
 	r.Class = resolved.Class
 	r.Priority = resolved.Priority
 	r.NoRepeat = resolved.NoRepeat
@@ -72,10 +72,10 @@
 	if !resolved.Admit {
 		return verdict.Refuse(verdict.ReasonLimit, 0, "the settings admit no request of %s in class %s", r.Organisation, r.Class)
 	}
-	if err := a.readRepeatHeaders(ctx); err != nil {
+	if err := in.readRepeatHeaders(ctx); err != nil {
 		return err
 	}
-	return a.applyCallerDeadline(ctx)
+	return in.applyCallerDeadline(ctx)
 }
 
 // maxKeyBytes bounds an idempotency key, because every voter stores it.
@@ -84,8 +84,8 @@
 // readRepeatHeaders reads the idempotency key and whether the request may be
 // repeated. It refuses a value that it can't parse: treating it as "may be
 // repeated" could run a call twice.
-func (a *incomingRequest) readRepeatHeaders(ctx *fasthttp.RequestCtx) *verdict.Error {
-	r := a.request
+func (in *incomingRequest) readRepeatHeaders(ctx *fasthttp.RequestCtx) *verdict.Error {
+	r := in.request
 	r.Key = string(ctx.Request.Header.Peek(headerKey))
 	if len(r.Key) > maxKeyBytes {
 		return verdict.Refuse(verdict.ReasonBadRequest, 0, "%s is longer than %d bytes", headerKey, maxKeyBytes)
@@ -104,7 +104,7 @@
 
 // applyCallerDeadline applies the caller's own deadline if it is earlier than that
 // of the class.
-func (a *incomingRequest) applyCallerDeadline(ctx *fasthttp.RequestCtx) *verdict.Error {
+func (in *incomingRequest) applyCallerDeadline(ctx *fasthttp.RequestCtx) *verdict.Error {
 	header := string(ctx.Request.Header.Peek(headerDeadlineMs))
 	if header == "" {
 		return nil
@@ -113,24 +113,24 @@
 	if err != nil || ms <= 0 {
 		return verdict.Refuse(verdict.ReasonBadRequest, 0, "%s must be a positive number of milliseconds", headerDeadlineMs)
 	}
-	a.limitDeadline(time.Duration(ms) * time.Millisecond)
+	in.limitDeadline(time.Duration(ms) * time.Millisecond)
 	return nil
 }
 
 // limitDeadline moves the deadline to at most d after the arrival. 0 means no limit.
-func (a *incomingRequest) limitDeadline(d time.Duration) {
+func (in *incomingRequest) limitDeadline(d time.Duration) {
 	if d <= 0 {
 		return
 	}
-	if limit := a.request.Arrival.Add(d); limit.Before(a.request.Deadline) {
-		a.request.Deadline = limit
+	if limit := in.request.Arrival.Add(d); limit.Before(in.request.Deadline) {
+		in.request.Deadline = limit
 	}
 }
 
 // refuse answers a request that was not passed to the dispatcher.
-func (s *Server) refuse(ctx *fasthttp.RequestCtx, a *incomingRequest, err *verdict.Error) {
-	s.options.Recorder.Received(a.request)
-	s.options.Recorder.Refused(a.request, err.Reason)
+func (s *Server) refuse(ctx *fasthttp.RequestCtx, in *incomingRequest, err *verdict.Error) {
+	s.options.Recorder.Received(in.request)
+	s.options.Recorder.Refused(in.request, err.Reason)
 	var alternatives []address
 	if err.Reason == verdict.ReasonDraining || err.Reason == verdict.ReasonNoLease {
 		alternatives = s.otherAddresses()
--- a/entry/completions.go
+++ b/entry/completions.go
@@ -16,23 +16,23 @@
 
 // completions serves POST /v1/completions.
 func (s *Server) completions(ctx *fasthttp.RequestCtx, id string) {
-	a, err := s.admit(ctx, id, request.Prompt)
+	in, err := s.admit(ctx, id, request.Prompt)
 	if err != nil {
-		s.refuse(ctx, a, err)
+		s.refuse(ctx, in, err)
 		return
 	}
-	raw, releaseBody, err := s.readBody(ctx, a.tree.Fleet.BodyLimit)
+	raw, releaseBody, err := s.readBody(ctx, in.tree.Fleet.BodyLimit)
 	if err != nil {
-		s.refuse(ctx, a, err)
+		s.refuse(ctx, in, err)
 		return
 	}
-	body, err := a.parseCompletion(raw)
+	body, err := in.parseCompletion(raw)
 	if err != nil {
 		releaseBody()
-		s.refuse(ctx, a, err)
+		s.refuse(ctx, in, err)
 		return
 	}
-	e := newExchange(a.request)
+	e := newExchange(in.request)
 	e.prompt = body
 	e.releaseBody = releaseBody
 	s.serve(ctx, e, body.Stream)
@@ -40,7 +40,7 @@
 
 // parseCompletion decodes and validates the body and fills in the fields of the
 // request that depend on it.
-func (a *incomingRequest) parseCompletion(raw []byte) (*completionBody, *verdict.Error) {
+func (in *incomingRequest) parseCompletion(raw []byte) (*completionBody, *verdict.Error) {
 	body := &completionBody{MaxTokens: defaultOutputTokens}
 	if err := json.Unmarshal(raw, body); err != nil {
 		return nil, verdict.Wrap(err, verdict.NotRun, verdict.ReasonBadRequest, "the body is no JSON object of a completion")
@@ -48,16 +48,16 @@
 	if body.Prompt == "" || body.MaxTokens < 1 || body.MaxTokens > maxOutputTokens {
 		return nil, verdict.Refuse(verdict.ReasonBadRequest, 0, "a prompt and 1 to %d max_tokens are needed", maxOutputTokens)
 	}
-	if _, known := a.tree.Model(body.Model); !known {
+	if _, known := in.tree.Model(body.Model); !known {
 		return nil, verdict.Refuse(verdict.ReasonNotFound, 0, "there is no model %q", body.Model)
 	}
-	r := a.request
+	r := in.request
 	r.Target = body.Model
 	r.OutputTokens = body.MaxTokens
 	r.PromptTokens = request.EstimateTokens(len(body.Prompt))
 	r.PrefixHash, r.PrefixTokens = request.Prefix(body.Prompt)
-	r.Long = a.tree.Length(r.PromptTokens).Long
-	if limit := a.resolved.Limits.PromptTokens; limit > 0 && r.PromptTokens > limit {
+	r.Long = in.tree.Length(r.PromptTokens).Long
+	if limit := in.resolved.Limits.PromptTokens; limit > 0 && r.PromptTokens > limit {
 		return nil, verdict.Refuse(verdict.ReasonBodyTooLarge, 0, "the prompt has about %d tokens, %d are allowed", r.PromptTokens, limit)
 	}
 	return body, nil
--- a/entry/differential_test.go
+++ b/entry/differential_test.go
@@ -35,8 +35,8 @@
 
 func TestDifferentialAgainstNaive(t *testing.T) {
 	// Runs the same faults against the production dispatcher and a naive one, which
-	// repeats on any error. With the naive one some calls run twice. With the production
-	// one no call may, and every caller must get a true final answer in time.
+	// repeats on any error. The naive one runs some calls twice. The production one must
+	// run none twice and give every caller a true final answer in time.
 	warmUp(t)
 	faults := map[string]script{
 		"reads the call and closes": func(net.Conn, *fasthttp.Request) {},
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -35,15 +35,15 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		a := &incomingRequest{tree: tree, request: &request.Request{ID: "r", Kind: request.Prompt}}
-		body, err := a.parseCompletion(raw)
+		in := &incomingRequest{tree: tree, request: &request.Request{ID: "r", Kind: request.Prompt}}
+		body, err := in.parseCompletion(raw)
 		if err != nil {
 			if err.Verdict != verdict.NotRun {
 				t.Errorf("a refused body has verdict %v", err.Verdict)
 			}
 			return
 		}
-		r := a.request
+		r := in.request
 		if body.Prompt == "" || r.PromptTokens < 1 || r.OutputTokens < 1 || r.OutputTokens > maxOutputTokens || r.Target != "sarto" {
 			t.Errorf("accepted %q as %+v", raw, r)
 		}
@@ -66,21 +66,21 @@
 			ctx.Request.Header.Set(name, value)
 		}
 		now := time.Unix(1_700_000_000, 0)
-		a := &incomingRequest{tree: tree, request: &request.Request{Organisation: "bottega", Arrival: now, Deadline: now}}
-		if err := a.applyClass(ctx); err != nil {
+		in := &incomingRequest{tree: tree, request: &request.Request{Organisation: "bottega", Arrival: now, Deadline: now}}
+		if err := in.applyClass(ctx); err != nil {
 			if err.Verdict != verdict.NotRun {
 				t.Errorf("refused with verdict %v", err.Verdict)
 			}
 			return
 		}
-		if limit := now.Add(a.resolved.Deadline); a.request.Deadline.After(limit) || !a.request.Deadline.After(now) {
-			t.Errorf("deadline %v after arrival", a.request.Deadline.Sub(now))
+		if limit := now.Add(in.resolved.Deadline); in.request.Deadline.After(limit) || !in.request.Deadline.After(now) {
+			t.Errorf("deadline %v after arrival", in.request.Deadline.Sub(now))
 		}
-		if a.resolved.NoRepeat && !a.request.NoRepeat {
+		if in.resolved.NoRepeat && !in.request.NoRepeat {
 			t.Error("a class that may not be repeated was overridden")
 		}
-		if len(a.request.Key) > maxKeyBytes {
-			t.Errorf("a key of %d bytes", len(a.request.Key))
+		if len(in.request.Key) > maxKeyBytes {
+			t.Errorf("a key of %d bytes", len(in.request.Key))
 		}
 	})
 }
--- a/entry/listener.go
+++ b/entry/listener.go
@@ -16,7 +16,7 @@
 
 const (
 	writeStallTimeout   = 30 * time.Second // a write that makes no progress for so long fails
-	userTimeout         = 30 * time.Second // bytes to a caller may stay unacknowledged for so long (TCP_USER_TIMEOUT)
+	tcpUserTimeout      = 30 * time.Second // bytes to a caller may stay unacknowledged for so long (TCP_USER_TIMEOUT)
 	rejectionLimit      = 256              // connections over the limit that are answered concurrently
 	rejectionTimeout    = 2 * time.Second
 	rejectionRetryAfter = time.Second
@@ -43,7 +43,7 @@
 		if err != nil {
 			return nil, err
 		}
-		setUserTimeout(conn)
+		setTCPUserTimeout(conn)
 		if l.open.Add(1) <= l.limit {
 			return &callerConn{Conn: conn, listener: l}, nil
 		}
@@ -81,9 +81,9 @@
 	}
 }
 
-// setUserTimeout makes the kernel close the connection of a caller that stops
+// setTCPUserTimeout makes the kernel close the connection of a caller that stops
 // acknowledging data.
-func setUserTimeout(conn net.Conn) {
+func setTCPUserTimeout(conn net.Conn) {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return
@@ -93,7 +93,7 @@
 		return
 	}
 	_ = raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 }
 
--- a/entry/services.go
+++ b/entry/services.go
@@ -11,20 +11,20 @@
 
 // services serves calls to plain services at /v1/services/NAME/...
 func (s *Server) services(ctx *fasthttp.RequestCtx, id string) {
-	a, err := s.admit(ctx, id, request.ServiceCall)
+	in, err := s.admit(ctx, id, request.ServiceCall)
 	if err == nil {
-		err = a.service(ctx)
+		err = in.service(ctx)
 	}
 	if err != nil {
-		s.refuse(ctx, a, err)
+		s.refuse(ctx, in, err)
 		return
 	}
-	raw, releaseBody, err := s.readBody(ctx, a.tree.Fleet.BodyLimit)
+	raw, releaseBody, err := s.readBody(ctx, in.tree.Fleet.BodyLimit)
 	if err != nil {
-		s.refuse(ctx, a, err)
+		s.refuse(ctx, in, err)
 		return
 	}
-	e := newExchange(a.request)
+	e := newExchange(in.request)
 	e.releaseBody = releaseBody
 	e.call = &serviceBody{
 		method:      string(ctx.Method()),
@@ -37,14 +37,14 @@
 
 // service sets the target of the request to the service named in the path and
 // applies the settings of that service.
-func (a *incomingRequest) service(ctx *fasthttp.RequestCtx) *verdict.Error {
+func (in *incomingRequest) service(ctx *fasthttp.RequestCtx) *verdict.Error {
 	name, _, _ := strings.Cut(strings.TrimPrefix(string(ctx.Path()), pathServices), "/")
-	service, known := a.tree.Service(name)
+	service, known := in.tree.Service(name)
 	if !known {
 		return verdict.Refuse(verdict.ReasonNotFound, 0, "there is no service %q", name)
 	}
-	a.request.Target = service.Name
-	a.request.NoRepeat = a.request.NoRepeat || service.NoRepeat
-	a.limitDeadline(service.Deadline)
+	in.request.Target = service.Name
+	in.request.NoRepeat = in.request.NoRepeat || service.NoRepeat
+	in.limitDeadline(service.Deadline)
 	return nil
 }
