--- a/entry/admit.go
+++ b/entry/admit.go
@@ -11,58 +11,60 @@
 	"celeryport/verdict"
 )
 
-// unknown stands in reports for an organisation or class that a request did not
-// name rightly.
-const unknown = "unknown"
+// unknownName is reported as the organisation or class of a request that named no valid
+// one.
+const unknownName = "unknown"
 
-// noLeaseRetry is when a caller may come back to an instance that has no valid
-// settings; the answer names other instances.
-const noLeaseRetry = time.Second
+// noLeaseRetryAfter is the Retry-After of an instance that has no valid settings.
+// Its answer also lists other instances.
+const noLeaseRetryAfter = time.Second
 
-// arrival is a request before it is admitted: what is known to count a refusal.
-type arrival struct {
+// incomingRequest is a request before it is admitted, with what is needed to count
+// a refusal.
+type incomingRequest struct {
 	request  *request.Request
 	resolved settings.Resolved
 	tree     *settings.Tree
 }
 
-// admit checks everything that needs no body: this instance's own state, the
-// caller's key and the class. The returned request is not yet counted as
-// received: reports count it by its target, which the body may name.
-func (s *Server) admit(ctx *fasthttp.RequestCtx, id string, kind request.Kind) (*arrival, *verdict.Error) {
+// admit checks everything that does not need the body: the state of this instance,
+// the caller's key and the class. It does not count the returned request as
+// received, because requests are counted by target and the target may be named in
+// the body.
+func (s *Server) admit(ctx *fasthttp.RequestCtx, id string, kind request.Kind) (*incomingRequest, *verdict.Error) {
 	now := s.options.Clock.Now()
-	a := &arrival{request: &request.Request{
-		ID: id, Kind: kind, Organisation: unknown, Class: unknown, Arrival: now, Deadline: now,
+	in := &incomingRequest{request: &request.Request{
+		ID: id, Kind: kind, Organisation: unknownName, Class: unknownName, Arrival: now, Deadline: now,
 	}}
-	return a, s.admitTo(ctx, a)
+	return in, s.checkAdmission(ctx, in)
 }
 
-func (s *Server) admitTo(ctx *fasthttp.RequestCtx, a *arrival) *verdict.Error {
+func (s *Server) checkAdmission(ctx *fasthttp.RequestCtx, in *incomingRequest) *verdict.Error {
 	if s.draining.refusing() {
 		return verdict.Refuse(verdict.ReasonDraining, 0, "this instance is shutting down")
 	}
 	view := s.options.Plane.View()
-	if view == nil || view.Tree == nil || a.request.Arrival.After(view.LeaseUntil) {
-		return verdict.Refuse(verdict.ReasonNoLease, noLeaseRetry, "this instance can't confirm its settings")
+	if view == nil || view.Tree == nil || in.request.Arrival.After(view.LeaseUntil) {
+		return verdict.Refuse(verdict.ReasonNoLease, noLeaseRetryAfter, "this instance can't confirm its settings")
 	}
-	a.tree = view.Tree
+	in.tree = view.Tree
 	organisation, err := authenticate(ctx, view.Tree)
 	if err != nil {
 		return err
 	}
-	a.request.Organisation = organisation
-	return a.classify(ctx)
+	in.request.Organisation = organisation
+	return in.applyClass(ctx)
 }
 
-// classify applies the class that the caller names.
-func (a *arrival) classify(ctx *fasthttp.RequestCtx) *verdict.Error {
+// applyClass resolves the class that the caller names and applies its settings.
+func (in *incomingRequest) applyClass(ctx *fasthttp.RequestCtx) *verdict.Error {
 	class := string(ctx.Request.Header.Peek(headerClass))
-	resolved, err := a.tree.Resolve(a.request.Organisation, class)
+	resolved, err := in.tree.Resolve(in.request.Organisation, class)
 	if err != nil {
 		return err
 	}
-	a.resolved = resolved
-	r := a.request
+	in.resolved = resolved
+	r := in.request
 	r.Class = resolved.Class
 	r.Priority = resolved.Priority
 	r.NoRepeat = resolved.NoRepeat
@@ -70,19 +72,20 @@
 	if !resolved.Admit {
 		return verdict.Refuse(verdict.ReasonLimit, 0, "the settings admit no request of %s in class %s", r.Organisation, r.Class)
 	}
-	if err := a.mark(ctx); err != nil {
+	if err := in.readRepeatHeaders(ctx); err != nil {
 		return err
 	}
-	return a.shorten(ctx)
+	return in.applyCallerDeadline(ctx)
 }
 
-// maxKeyBytes bounds an idempotency key, which every voter keeps.
+// maxKeyBytes bounds an idempotency key, because every voter stores it.
 const maxKeyBytes = 256
 
-// mark reads how the caller wants repeats to be treated. A value that is not
-// understood is refused: taking it for "may be repeated" could run a call twice.
-func (a *arrival) mark(ctx *fasthttp.RequestCtx) *verdict.Error {
-	r := a.request
+// readRepeatHeaders reads the idempotency key and whether the request may be
+// repeated. It refuses a value that it can't parse: treating it as "may be
+// repeated" could run a call twice.
+func (in *incomingRequest) readRepeatHeaders(ctx *fasthttp.RequestCtx) *verdict.Error {
+	r := in.request
 	r.Key = string(ctx.Request.Header.Peek(headerKey))
 	if len(r.Key) > maxKeyBytes {
 		return verdict.Refuse(verdict.ReasonBadRequest, 0, "%s is longer than %d bytes", headerKey, maxKeyBytes)
@@ -99,8 +102,9 @@
 	return nil
 }
 
-// shorten applies the caller's own deadline where it is the earlier one.
-func (a *arrival) shorten(ctx *fasthttp.RequestCtx) *verdict.Error {
+// applyCallerDeadline applies the caller's own deadline if it is earlier than that
+// of the class.
+func (in *incomingRequest) applyCallerDeadline(ctx *fasthttp.RequestCtx) *verdict.Error {
 	header := string(ctx.Request.Header.Peek(headerDeadlineMs))
 	if header == "" {
 		return nil
@@ -109,28 +113,28 @@
 	if err != nil || ms <= 0 {
 		return verdict.Refuse(verdict.ReasonBadRequest, 0, "%s must be a positive number of milliseconds", headerDeadlineMs)
 	}
-	a.bound(time.Duration(ms) * time.Millisecond)
+	in.limitDeadline(time.Duration(ms) * time.Millisecond)
 	return nil
 }
 
-// bound brings the deadline forward to at most d after the arrival; 0 is no bound.
-func (a *arrival) bound(d time.Duration) {
+// limitDeadline moves the deadline to at most d after the arrival. 0 means no limit.
+func (in *incomingRequest) limitDeadline(d time.Duration) {
 	if d <= 0 {
 		return
 	}
-	if limit := a.request.Arrival.Add(d); limit.Before(a.request.Deadline) {
-		a.request.Deadline = limit
+	if limit := in.request.Arrival.Add(d); limit.Before(in.request.Deadline) {
+		in.request.Deadline = limit
 	}
 }
 
-// refuse answers a request that never reached the dispatcher.
-func (s *Server) refuse(ctx *fasthttp.RequestCtx, a *arrival, err *verdict.Error) {
-	s.options.Recorder.Received(a.request)
-	s.options.Recorder.Refused(a.request, err.Reason)
-	var elsewhere []address
+// refuse answers a request that was not passed to the dispatcher.
+func (s *Server) refuse(ctx *fasthttp.RequestCtx, in *incomingRequest, err *verdict.Error) {
+	s.options.Recorder.Received(in.request)
+	s.options.Recorder.Refused(in.request, err.Reason)
+	var alternatives []address
 	if err.Reason == verdict.ReasonDraining || err.Reason == verdict.ReasonNoLease {
-		elsewhere = s.others()
+		alternatives = s.otherAddresses()
 	}
-	writeError(ctx, err, elsewhere)
+	writeError(ctx, err, alternatives)
 	linger(ctx)
 }
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -22,8 +22,8 @@
 	return tree
 }
 
-// FuzzCompletionBody checks that no body breaks an instance, and that whatever is
-// accepted is within the limits that the rest relies on.
+// FuzzCompletionBody checks that no body causes a panic, and that accepted bodies are
+// within the limits that the rest of the code relies on.
 func FuzzCompletionBody(f *testing.F) {
 	tree := fuzzTree(f)
 	for _, seed := range []string{
@@ -35,23 +35,23 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		a := &arrival{tree: tree, request: &request.Request{ID: "r", Kind: request.Prompt}}
-		body, err := a.completion(raw)
+		in := &incomingRequest{tree: tree, request: &request.Request{ID: "r", Kind: request.Prompt}}
+		body, err := in.parseCompletion(raw)
 		if err != nil {
 			if err.Verdict != verdict.NotRun {
 				t.Errorf("a refused body has verdict %v", err.Verdict)
 			}
 			return
 		}
-		r := a.request
+		r := in.request
 		if body.Prompt == "" || r.PromptTokens < 1 || r.OutputTokens < 1 || r.OutputTokens > maxOutputTokens || r.Target != "sarto" {
 			t.Errorf("accepted %q as %+v", raw, r)
 		}
 	})
 }
 
-// FuzzHeaders checks that no header of a caller breaks an instance, lengthens a
-// deadline, or turns a request that may not be repeated into one that may.
+// FuzzHeaders checks that no header of a caller causes a panic, extends a deadline, or
+// makes a request repeatable that may not be repeated.
 func FuzzHeaders(f *testing.F) {
 	tree := fuzzTree(f)
 	f.Add("counter", "1000", "true", "k")
@@ -66,27 +66,27 @@
 			ctx.Request.Header.Set(name, value)
 		}
 		now := time.Unix(1_700_000_000, 0)
-		a := &arrival{tree: tree, request: &request.Request{Organisation: "bottega", Arrival: now, Deadline: now}}
-		if err := a.classify(ctx); err != nil {
+		in := &incomingRequest{tree: tree, request: &request.Request{Organisation: "bottega", Arrival: now, Deadline: now}}
+		if err := in.applyClass(ctx); err != nil {
 			if err.Verdict != verdict.NotRun {
 				t.Errorf("refused with verdict %v", err.Verdict)
 			}
 			return
 		}
-		if limit := now.Add(a.resolved.Deadline); a.request.Deadline.After(limit) || !a.request.Deadline.After(now) {
-			t.Errorf("deadline %v after arrival", a.request.Deadline.Sub(now))
+		if limit := now.Add(in.resolved.Deadline); in.request.Deadline.After(limit) || !in.request.Deadline.After(now) {
+			t.Errorf("deadline %v after arrival", in.request.Deadline.Sub(now))
 		}
-		if a.resolved.NoRepeat && !a.request.NoRepeat {
+		if in.resolved.NoRepeat && !in.request.NoRepeat {
 			t.Error("a class that may not be repeated was overridden")
 		}
-		if len(a.request.Key) > maxKeyBytes {
-			t.Errorf("a key of %d bytes", len(a.request.Key))
+		if len(in.request.Key) > maxKeyBytes {
+			t.Errorf("a key of %d bytes", len(in.request.Key))
 		}
 	})
 }
 
-// FuzzAnnouncement checks that no announcement breaks an instance or brings an
-// upstream in that routing can't use.
+// FuzzAnnouncement checks that no announcement causes a panic or registers an upstream
+// that routing can't use.
 func FuzzAnnouncement(f *testing.F) {
 	good := upstream.Announcement{
 		Name: "e1", Incarnation: 1, Sequence: 1, Address: "127.0.0.1:1", Targets: []string{"sarto"}, MemoryTokens: 1,
--- a/forward/reporting.go
+++ b/forward/reporting.go
@@ -108,13 +108,13 @@
 		}
 	case datagram.Rates, datagram.RatesToRelay:
 		return s.handleRates(from, kind, content)
-	case datagram.Ask:
+	case datagram.ArbiterRequest:
 		ask, err := arbiter.DecodeRequest(content)
 		if err != nil {
 			return err
 		}
 		s.handleAsk(from, ask)
-	case datagram.Answer:
+	case datagram.ArbiterAnswer:
 		answer, err := arbiter.DecodeAnswer(content)
 		if err != nil {
 			return err
