--- a/control/relay/doc.go
+++ b/control/relay/doc.go
@@ -1,7 +1,7 @@
-// Package relay carries what instances heard of upstreams to each other in few
-// bytes. What seldom changes of an upstream is sent once, and after that only
-// its load, as small numbers in columns. Sender and Receiver are pure.
+// Package relay transfers upstream announcements between instances in a compact encoding.
+// The rarely changing fields of an upstream are sent once; after that only its load is sent,
+// as columns of small numbers. Sender and Receiver do no I/O.
 //
-// An upstream's announcement takes about 400 bytes as JSON. With 600 upstreams
-// that announce every second, each instance would receive 240 KB a second.
+// An announcement takes about 400 bytes as JSON. With 600 upstreams that announce every
+// second, each instance would receive 240 kB/s without this encoding.
 package relay
--- a/control/relay/fuzz_test.go
+++ b/control/relay/fuzz_test.go
@@ -7,8 +7,8 @@
 )
 
 func FuzzReceiverTake(f *testing.F) {
-	// Another instance of a faulty or newer version sends what no sender would.
-	// The control goroutine must refuse it, not fall over with the whole instance.
+	// An instance of a faulty or newer version sends a malformed delta. The receiver must
+	// reject it without a panic, which would end the whole instance.
 	s := NewSender()
 	for second := range 2 {
 		changes := []upstream.Relayed{{Announcement: announcement(1, second)}, {Announcement: announcement(2, second)}}
@@ -34,7 +34,7 @@
 		}
 		relayed, err := r.Take(delta, 0)
 		if err != nil && relayed != nil {
-			t.Fatal("a refused delta gave upstreams")
+			t.Fatal("a rejected delta returned upstreams")
 		}
 	})
 }
--- a/control/relay/load.go
+++ b/control/relay/load.go
@@ -12,21 +12,23 @@
 // The units in which loads travel. They are small against what the choice of an
 // upstream depends on, and keep most numbers in one or two bytes.
 const (
+	// Units in which loads are encoded. They are small compared with the differences that
+	// affect the choice of an upstream, and keep most numbers within one or two bytes.
 	ageUnit     = 100 * time.Millisecond
 	loadAgeUnit = 10 * time.Millisecond
 	prefillUnit = 256  // tokens
 	heldUnit    = 1024 // tokens
-	rateChange  = 0.05 // a measured rate is sent again when it moved by this part
+	rateChange  = 0.05 // a measured rate is sent again after a relative change above this
 )
 
-// unitsOf rounds up, so that relaying never makes an upstream look fresher.
+// unitsOf rounds up, so that relaying never makes an upstream look fresher than it is.
 func unitsOf(d, unit time.Duration) uint32 {
 	return uint32((max(0, d) + unit - 1) / unit)
 }
 
 func tokenUnits(tokens, unit int) uint32 { return uint32((max(0, tokens) + unit - 1) / unit) }
 
-// addLoads appends the loads of upstreams that the receivers know.
+// addLoads appends the loads of upstreams that receivers already know.
 func (s *Sender) addLoads(now time.Time, b *rpc.UpstreamBatch, known []*sent, before map[uint32]upstream.Announcement) {
 	slices.SortFunc(known, func(a, b *sent) int { return int(a.ref) - int(b.ref) })
 	var sequences, waiting, longPrefill, loadAges sparse
@@ -49,8 +51,8 @@
 	b.Sequences, b.Waiting, b.LongPrefill, b.LoadAges = sequences.column, waiting.column, longPrefill.column, loadAges.column
 }
 
-// unlessZero leaves out a column that holds nothing but zeros: upstreams that state no
-// load are most of what is relayed in a fleet that forwards calls.
+// unlessZero omits a column that contains only zeros. Most upstreams in a fleet that
+// forwards calls report no load.
 func unlessZero(column []uint32) []uint32 {
 	for _, value := range column {
 		if value != 0 {
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// valueAt returns a value of a column that may have been left out.
+// valueAt returns a value of a column, or 0 if the column was omitted.
 func valueAt(column []uint32, at int) int {
 	if len(column) == 0 {
 		return 0
@@ -68,12 +70,13 @@
 	return int(column[at])
 }
 
-// usualStep is by how much a sequence grows between two batches as a rule: an
-// upstream announces itself once in the time of a sync or two.
+// usualStep is the usual increase of a sequence number between two batches: an upstream
+// announces itself about once in every one or two syncs.
 const usualStep = 1
 
-// addRates appends the measured rates of an upstream if they moved. If not, what
-// receivers have stays the reference, else a slow drift would never be sent.
+// addRates appends the measured rates of an upstream if they changed noticeably. Otherwise
+// the rates that the receivers have stay the reference, because a slow drift would never be
+// sent if each small change moved the reference.
 func (s *Sender) addRates(b *rpc.UpstreamBatch, u *sent, old *upstream.Announcement) {
 	load := &u.announcement.Load
 	if !moved(old.Load.PrefillRate, load.PrefillRate) && !moved(old.Load.DecodeRate, load.DecodeRate) {
--- a/control/relay/receiver.go
+++ b/control/relay/receiver.go
@@ -12,25 +12,25 @@
 	"celeryport/upstream"
 )
 
-// Receiver rebuilds announcements from the deltas of one sender.
+// Receiver restores announcements from the deltas of one sender.
 type Receiver struct {
 	position uint64
 	known    map[uint32]upstream.Announcement
 }
 
-// ErrGap says that a delta does not follow what the receiver has. It must ask
-// for everything, from position 0.
-var ErrGap = errors.New("a delta of upstreams does not follow the one before")
+// ErrGap means that a delta does not follow the receiver's position. The receiver must then
+// request the full table, from position 0.
+var ErrGap = errors.New("upstream delta does not follow the previous one")
 
 // NewReceiver returns a receiver at position 0.
 func NewReceiver() *Receiver { return &Receiver{known: map[uint32]upstream.Announcement{}} }
 
-// Position is the number of the last batch that was taken.
+// Position returns the number of the last batch that was applied.
 func (r *Receiver) Position() uint64 { return r.position }
 
-// Take returns the announcements of a delta. way is how long the delta was at
-// most on its way: it adds to the ages, so that nothing looks fresher than it is.
-// Batches that were taken before are skipped.
+// Take returns the announcements of a delta. way is the maximum time that the delta was in
+// transit. It is added to the ages, so that no announcement looks fresher than it is.
+// Batches that were already applied are skipped.
 func (r *Receiver) Take(delta []byte, way time.Duration) ([]upstream.Relayed, error) {
 	if len(delta) == 0 {
 		return nil, nil
@@ -40,7 +40,7 @@
 		return nil, errors.Wrap(err, "decode upstreams")
 	}
 	if d.Full && d.Position < r.position {
-		return nil, nil // overtaken by a newer one
+		return nil, nil // a newer delta arrived first
 	}
 	if d.Full {
 		r.position = 0
@@ -64,7 +64,7 @@
 	if !full && sent.Number != r.position+1 {
 		return nil, ErrGap
 	}
-	content, err := pack.Unpack(sent.Batch) // a whole table is packed, a batch is not
+	content, err := pack.Unpack(sent.Batch) // full tables are compressed, single batches are not
 	if err != nil {
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 	return append(all, loads...), nil
 }
 
-// checkColumns refuses a batch whose columns don't belong together.
+// checkColumns rejects a batch whose columns have inconsistent lengths.
 func checkColumns(b *rpc.UpstreamBatch) error {
 	loads, news, rates := len(b.Refs), len(b.NewRefs), len(b.RateRefs)
 	if len(b.Ages) != loads {
@@ -146,7 +146,7 @@
 	return all, nil
 }
 
-// takeSparse fills in the columns that seldom change.
+// takeSparse applies the columns that hold only the values that differ from their default.
 func takeSparse(b *rpc.UpstreamBatch, all []upstream.Relayed) error {
 	columns := []struct {
 		column *rpc.Sparse
--- a/control/relay/relay_test.go
+++ b/control/relay/relay_test.go
@@ -47,10 +47,10 @@
 	}
 }
 
-// Guards against a voter whose link is filled by upstreams that say what they said before.
+// Guards against deltas that fill a voter's link although the upstreams report nothing new.
 func TestAnnouncementsWithoutLoadTakeTwoBytes(t *testing.T) {
 	s, r := NewSender(), NewReceiver()
-	const upstreams, most = 3000, 2.2 // bytes each: one for which, one for its age, and some for all
+	const upstreams, most = 3000, 2.2 // bytes for each upstream: one for the reference, one for the age, and a shared header
 	for second := range 3 {
 		now := testStart.Add(time.Duration(second) * time.Second)
 		var changes []upstream.Relayed
@@ -68,11 +68,11 @@
 		}
 		taken, err := r.Take(delta, 0)
 		if err != nil || len(taken) != upstreams {
-			t.Fatalf("%d upstreams taken: %v", len(taken), err)
+			t.Fatalf("got %d upstreams: %v", len(taken), err)
 		}
 		for _, one := range taken {
 			if one.Announcement.Sequence != uint64(1+second) || one.Announcement.Load != (upstream.Load{}) || one.Age != 300*time.Millisecond {
-				t.Fatalf("taken as %+v", one)
+				t.Fatalf("got %+v", one)
 			}
 		}
 		if each := float64(len(delta)) / upstreams; second > 0 && each > most {
@@ -82,9 +82,9 @@
 }
 
 func TestReceiversNeverMixUpUpstreams(t *testing.T) {
-	// Deltas are lost, doubled and overtake each other, a receiver falls far
-	// behind, and upstreams restart. A receiver that took one upstream's load for
-	// another's, or an old one for new, would send prompts to the wrong engine.
+	// Deltas are lost, duplicated and reordered, a receiver falls far behind, and upstreams
+	// restart. A receiver that assigned a load to the wrong upstream, or took an old load
+	// for a new one, would send prompts to the wrong engine.
 	rapid.Check(t, func(t *rapid.T) {
 		s, r := NewSender(), NewReceiver()
 		registry := upstream.NewRegistry(3 * time.Second)
@@ -144,8 +144,8 @@
 	})
 }
 
-// compare checks that what a receiver believes was once said, and is no fresher
-// than it really is.
+// compare checks that every announcement in the receiver's registry was sent by its upstream
+// and looks no fresher than it is.
 func compare(t *rapid.T, got, truth *upstream.Registry, now time.Time) {
 	real := map[string]upstream.Upstream{}
 	for _, u := range truth.Snapshot(now).Upstreams {
@@ -154,7 +154,7 @@
 	for _, u := range got.Snapshot(now).Upstreams {
 		a, b := u.Announcement, real[u.Announcement.Name].Announcement
 		if a.Incarnation > b.Incarnation || (a.Incarnation == b.Incarnation && a.Sequence > b.Sequence) {
-			t.Fatalf("%s: incarnation %d sequence %d was never said", a.Name, a.Incarnation, a.Sequence)
+			t.Fatalf("%s: incarnation %d sequence %d was never announced", a.Name, a.Incarnation, a.Sequence)
 		}
 		if a.Incarnation == b.Incarnation && u.HeardAt.After(real[a.Name].HeardAt) {
 			t.Fatalf("%s looks fresher by %v than it is", a.Name, u.HeardAt.Sub(real[a.Name].HeardAt))
@@ -162,7 +162,7 @@
 		said := announcement(0, int(a.Sequence)).Load
 		if a.Load.Running != said.Running || a.Load.Waiting != said.Waiting || a.Load.LongPrefill != said.LongPrefill ||
 			a.Load.HeldTokens != said.HeldTokens || a.Load.Age != said.Age {
-			t.Fatalf("%s sequence %d has another's load", a.Name, a.Sequence)
+			t.Fatalf("%s sequence %d has the load of another announcement", a.Name, a.Sequence)
 		}
 	}
 }
--- a/control/relay/sender.go
+++ b/control/relay/sender.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	keptBatches = 16        // a receiver that is further behind gets everything anew
-	forgetAfter = time.Hour // upstreams that were not heard for so long leave the table
+	keptBatches = 16        // a receiver that is further behind gets the full table
+	forgetAfter = time.Hour // upstreams that were not heard from for this long are removed from the table
 )
 
-// Sender gathers what was heard into numbered batches. Each batch is encoded
-// once, for all receivers.
+// Sender collects announcements into numbered batches. Each batch is encoded once for all
+// receivers.
 type Sender struct {
 	table   map[string]*sent
 	refs    uint32
 	number  uint64
-	batches []batch // newest last
-	whole   batch   // the whole table as of a batch; nothing encoded: not asked for since
+	batches []batch // oldest first
+	whole   batch   // full table as of a batch; empty if it was not requested since
 }
 
-// sent is an upstream as of the last batch.
+// sent is the state of an upstream as of the last batch.
 type sent struct {
 	ref          uint32
 	announcement upstream.Announcement
@@ -45,8 +45,8 @@
 // NewSender returns a sender that knows no upstream.
 func NewSender() *Sender { return &Sender{table: map[string]*sent{}} }
 
-// Add makes a batch of what changed since the last one. Nothing changed: no
-// batch.
+// Add creates a batch of the changes since the last one. It creates none if there are no
+// changes.
 func (s *Sender) Add(now time.Time, changes []upstream.Relayed) error {
 	s.forget(now)
 	if len(changes) == 0 {
@@ -81,10 +81,10 @@
 	return nil
 }
 
-// Position is the number of the last batch.
+// Position returns the number of the last batch.
 func (s *Sender) Position() uint64 { return s.number }
 
-// Since encodes what a receiver at the position lacks, nil if nothing.
+// Since encodes what a receiver at the given position lacks, nil if nothing.
 func (s *Sender) Since(now time.Time, position uint64) ([]byte, error) {
 	if position == s.number {
 		return nil, nil
@@ -106,9 +106,9 @@
 	return &rpc.SentBatch{AgeMs: unitsOf(now.Sub(b.at), time.Millisecond), Number: b.number, Batch: b.encoded}
 }
 
-// full encodes the whole table as of the last batch. When a fleet starts, all its
-// instances ask for it within a moment, and a table of hundreds takes milliseconds: it
-// is encoded once for those that ask between two batches.
+// full encodes the full table as of the last batch. When a fleet starts, all its instances
+// request the table almost at once, and encoding hundreds of upstreams takes milliseconds.
+// The encoding is therefore reused until the next batch.
 func (s *Sender) full(now time.Time) ([]byte, error) {
 	if s.whole.number != s.number || len(s.whole.encoded) == 0 {
 		encoded, err := s.encodeTable(now)
@@ -122,7 +122,7 @@
 	return encoded, errors.Wrap(err, "encode upstreams")
 }
 
-// encodeTable encodes all upstreams as a packed batch.
+// encodeTable encodes all upstreams as one compressed batch.
 func (s *Sender) encodeTable(now time.Time) ([]byte, error) {
 	var b rpc.UpstreamBatch
 	for _, u := range s.sorted() {
@@ -146,8 +146,8 @@
 	return all
 }
 
-// addNew gives an upstream a new reference. References are never used again, so
-// a receiver that missed something can't take one upstream for another.
+// addNew assigns an upstream a new reference. References are never reused, so a receiver
+// that missed a batch cannot mistake one upstream for another.
 func (s *Sender) addNew(b *rpc.UpstreamBatch, c upstream.Relayed, heardAt time.Time) error {
 	s.refs++
 	s.table[c.Announcement.Name] = &sent{ref: s.refs, announcement: c.Announcement, heardAt: heardAt}
@@ -175,7 +175,7 @@
 	}
 }
 
-// sameIdentity reports whether only the load and the sequence differ.
+// sameIdentity reports whether two announcements differ only in load and sequence number.
 func sameIdentity(a, b *upstream.Announcement) bool {
 	return a.Incarnation == b.Incarnation && a.Address == b.Address && a.Kind == b.Kind &&
 		a.Version == b.Version && a.AvailabilityZone == b.AvailabilityZone &&
--- a/control/relay/sparse.go
+++ b/control/relay/sparse.go
@@ -6,13 +6,13 @@
 	"celeryport/rpc"
 )
 
-// sparse builds a column of values that seldom change.
+// sparse builds a column that holds only the values that differ from their default.
 type sparse struct {
 	column *rpc.Sparse
 	last   int
 }
 
-// add appends the value at a place unless it is the usual one.
+// add appends the value at a position unless it equals the default.
 func (s *sparse) add(place int, value, usual uint32) {
 	if value == usual {
 		return
@@ -25,7 +25,7 @@
 	s.last = place
 }
 
-// spread calls set for each value of a column with so many places.
+// spread calls set for each value of a column with the given number of positions.
 func spread(column *rpc.Sparse, places int, set func(place int, value uint32)) error {
 	if column == nil {
 		return nil
@@ -37,7 +37,7 @@
 	for i, distance := range column.At {
 		place += int(distance)
 		if place >= places {
-			return errors.New("a value outside its column")
+			return errors.New("position outside of the column")
 		}
 		set(place, column.To[i])
 	}
--- a/control/state/command.go
+++ b/control/state/command.go
@@ -9,31 +9,31 @@
 	"celeryport/quarantine"
 )
 
-// LogVersion is the version of the log entries that this program reads. Evidence came with
-// version 1.
+// LogVersion is the newest version of log entries that this build can read. Version 1 added
+// evidence.
 const LogVersion = 1
 
-// Command is the data of one proposal in the log. Exactly one of its parts is
-// set.
+// Command is the payload of one log entry. Exactly one of Apply, Issuer, Document and
+// Evidence is set.
 type Command struct {
-	At       time.Time     `json:"at"`                 // wall time of the leader that proposed it
-	Lifetime time.Duration `json:"lifetime,omitempty"` // how long order ids are remembered, from the settings in force
+	At       time.Time     `json:"at"`                 // wall-clock time of the proposing leader
+	Lifetime time.Duration `json:"lifetime,omitempty"` // retention of order ids, from the settings in force
 	Apply    *Apply        `json:"apply,omitempty"`
 	Issuer   *TakeIssuer   `json:"issuer,omitempty"`
 	Document *PutDocument  `json:"document,omitempty"`
 
-	Evidence []quarantine.Evidence `json:"evidence,omitempty"` // about requests that crash upstreams
+	Evidence []quarantine.Evidence `json:"evidence,omitempty"` // against requests that crash upstreams
 }
 
 // Apply is an operator's order to replace the settings tree.
 type Apply struct {
 	OrderID string `json:"order_id"`
-	Base    uint64 `json:"base"` // revision that the operator built on, 0 for the first tree
+	Base    uint64 `json:"base"` // revision that the operator edited; 0 for the first tree
 	Text    []byte `json:"text"`
 }
 
-// PutDocument is an operator's order to install a document that numbers its
-// versions itself: of two the higher one holds, in whatever order they come.
+// PutDocument is an operator's order to install a document that carries its own version. The
+// highest version is kept, regardless of the order in which documents arrive.
 type PutDocument struct {
 	Version uint64 `json:"version"`
 	Text    []byte `json:"text"`
@@ -45,21 +45,21 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Encode returns the log data of the command.
+// Encode returns the command in the format of a log entry.
 func (c *Command) Encode() ([]byte, error) {
 	data, err := json.Marshal(c)
 	return data, errors.Wrap(err, "encode a command")
 }
 
-// decodeCommand refuses what it does not know. A voter that skipped a command
-// of a newer version would silently differ from the others; it must stop.
+// decodeCommand rejects commands of unknown kinds. A voter that skipped a command of a newer
+// version would silently diverge from the others, so it has to stop instead.
 func decodeCommand(data []byte) (*Command, error) {
 	var c Command
 	if err := json.Unmarshal(data, &c); err != nil {
 		return nil, errors.Wrap(err, "decode a command")
 	}
 	if c.Apply == nil && c.Issuer == nil && c.Document == nil && len(c.Evidence) == 0 {
-		return nil, errors.New("a command of an unknown kind; this version is too old for the log")
+		return nil, errors.New("unknown kind of command: this build is too old for the log")
 	}
 	return &c, nil
 }
--- a/control/state/doc.go
+++ b/control/state/doc.go
@@ -1,5 +1,5 @@
-// Package state is the replicated state machine of the control group: the
-// accepted settings, the operators' order ids and the issuer of engine orders.
-// It is pure: every voter feeds it the same log entries and reaches the same
-// state. Time enters only as the leader's stamp inside a command.
+// Package state is the replicated state machine of the control group. It holds the accepted
+// settings, the ids of operators' orders and the issuer of engine orders. It is
+// deterministic: every voter applies the same log entries and reaches the same state. The
+// only source of time is the leader's timestamp in each command.
 package state
--- a/control/state/epoch.go
+++ b/control/state/epoch.go
@@ -7,8 +7,8 @@
 	"celeryport/consensus"
 )
 
-// Configure notes a committed change of the members. A change of the voters
-// begins a new epoch of claims; learners don't vote on them.
+// Configure applies a committed membership change of the control group. A change of the
+// voters starts a new epoch of claims; learners have no vote on claims and start none.
 func (m *Machine) Configure(index uint64, c consensus.Configuration) {
 	if index <= m.content.Applied {
 		return
@@ -28,5 +28,5 @@
 	}
 }
 
-// Epoch returns the present epoch of claims; its number is 0 before the first.
+// Epoch returns the current epoch of claims. Its number is 0 before the first epoch.
 func (m *Machine) Epoch() claim.Epoch { return m.content.Epoch }
--- a/control/state/issuer.go
+++ b/control/state/issuer.go
@@ -1,7 +1,7 @@
 package state
 
-// Fence is the fencing number of engine orders: the term and the index of the
-// log entry that made the issuer. It grows with each new issuer.
+// Fence is the fencing token of engine orders: the term and index of the log entry that
+// appointed the issuer. It increases with every new issuer.
 type Fence struct {
 	Term  uint64 `json:"term"`
 	Index uint64 `json:"index"`
@@ -15,8 +15,8 @@
 	return f.Index < other.Index
 }
 
-// Issuer is the one instance that may order engines, as long as it also holds
-// the leader's lease.
+// Issuer is the only instance that may send orders to engines. It may do so only while it
+// also holds the leader lease.
 type Issuer struct {
 	Holder      string `json:"holder"`
 	Incarnation uint64 `json:"incarnation"`
--- a/control/state/machine.go
+++ b/control/state/machine.go
@@ -12,8 +12,8 @@
 	"celeryport/quarantine"
 )
 
-// maxHistory is how many past revisions are described for operators who lost a
-// conflict.
+// maxHistory is how many past revisions are kept. They describe the winning revision to
+// operators whose order failed with a conflict.
 const maxHistory = 2_000
 
 // Machine is the replicated state. It is not safe for concurrent use.
@@ -21,14 +21,14 @@
 	content content
 }
 
-// content is what a snapshot holds.
+// content is the part of the state that is stored in snapshots.
 type content struct {
 	Applied uint64      `json:"applied"` // log index of the last applied entry
-	Clock   time.Time   `json:"clock"`   // latest stamp of any command; never goes back
+	Clock   time.Time   `json:"clock"`   // latest timestamp of any command; never decreases
 	Current Revision    `json:"current"`
 	Text    []byte      `json:"text"`
-	History []Revision  `json:"history"` // oldest first, Current included
-	Orders  orderBook   `json:"orders"`
+	History []Revision  `json:"history"` // oldest first, includes Current
+	Orders  orderStore  `json:"orders"`
 	Issuer  Issuer      `json:"issuer"`
 	Epoch   claim.Epoch `json:"epoch"`
 
@@ -41,17 +41,17 @@
 // Applied returns the log index of the last applied entry.
 func (m *Machine) Applied() uint64 { return m.content.Applied }
 
-// Current returns the accepted revision; its number is 0 before the first.
+// Current returns the accepted revision. Its number is 0 before the first one.
 func (m *Machine) Current() Revision { return m.content.Current }
 
 // Text returns the accepted settings text. The caller must not change it.
 func (m *Machine) Text() []byte { return m.content.Text }
 
-// Issuer returns the present issuer of engine orders.
+// Issuer returns the current issuer of engine orders.
 func (m *Machine) Issuer() Issuer { return m.content.Issuer }
 
-// QuarantineVersion returns the log index at which the quarantined requests changed last;
-// 0 if there were none yet.
+// QuarantineVersion returns the log index of the last change to the quarantined requests, or
+// 0 if there was none.
 func (m *Machine) QuarantineVersion() uint64 { return m.content.Quarantine.Version }
 
 // Quarantine returns the quarantined requests.
@@ -62,24 +62,24 @@
 	return slices.Clone(m.content.Quarantine.Records)
 }
 
-// History returns the newest revisions, oldest first, at most limit.
+// History returns up to limit of the newest revisions, oldest first.
 func (m *Machine) History(limit int) []Revision {
 	from := max(0, len(m.content.History)-limit)
 	return append([]Revision(nil), m.content.History[from:]...)
 }
 
-// Lookup returns the first outcome of an order id that is remembered.
+// Lookup returns the first outcome of an order id and whether the id is still stored.
 func (m *Machine) Lookup(orderID string) (Outcome, bool) {
 	o, found := m.content.Orders.find(orderID)
 	return o.Outcome, found
 }
 
-// Skip notes an entry that carries no command.
+// Skip records that the entry at index, which carries no command, was applied.
 func (m *Machine) Skip(index uint64) { m.content.Applied = max(m.content.Applied, index) }
 
-// Apply executes one committed command. An entry that was applied already is
-// ignored: after a restart the log may replay entries that a snapshot holds.
-// An error means that this voter can't follow the log and must stop.
+// Apply executes a committed command. Entries that were already applied are ignored, because
+// the log may replay entries after a restart that the snapshot already contains. An error
+// means that this voter cannot follow the log and has to stop.
 func (m *Machine) Apply(index, term uint64, data []byte) (Outcome, error) {
 	if index <= m.content.Applied {
 		return Outcome{}, nil
@@ -91,7 +91,7 @@
 	m.content.Applied = index
 	m.advanceClock(index, command)
 	if command.Issuer != nil {
-		m.takeIssuer(index, term, command.Issuer)
+		m.assignIssuer(index, term, command.Issuer)
 		return Outcome{}, nil
 	}
 	if len(command.Evidence) > 0 {
@@ -104,10 +104,9 @@
 	return m.apply(index, command.Apply), nil
 }
 
-// put decides one document: only a version above the accepted one changes
-// anything. So a document that is sent again, or that arrives after a newer one,
-// is acknowledged without effect, and no other content ever takes the place of a
-// version that was accepted.
+// put installs a document only if its version is higher than the accepted one. A document
+// that is resent, or that arrives after a newer one, is acknowledged without effect, so the
+// content of an accepted version never changes.
 func (m *Machine) put(index uint64, d *PutDocument) Outcome {
 	if m.content.Current.Number > 0 && d.Version <= m.content.Current.Version {
 		return Outcome{Kind: Superseded, Current: m.content.Current.Number}
@@ -118,45 +117,44 @@
 	return Outcome{Kind: Accepted, Revision: index, Current: index}
 }
 
-// advanceClock moves the replicated clock and forgets old order ids and evidence. A leader
-// whose wall clock is behind never moves it back.
+// advanceClock advances the replicated clock and expires old order ids and evidence. A
+// leader whose wall clock is behind never moves the replicated clock back.
 func (m *Machine) advanceClock(index uint64, c *Command) {
 	if c.At.After(m.content.Clock) {
 		m.content.Clock = c.At
 	}
 	m.content.Quarantine.Expire(m.content.Clock, index, &quarantine.FleetLimits)
 	if c.Lifetime > 0 {
-		m.content.Orders.forget(m.content.Clock.Add(-c.Lifetime), m.content.Current.Number)
+		m.content.Orders.expire(m.content.Clock.Add(-c.Lifetime), m.content.Current.Number)
 	}
 }
 
-func (m *Machine) takeIssuer(index, term uint64, take *TakeIssuer) {
+func (m *Machine) assignIssuer(index, term uint64, a *TakeIssuer) {
 	m.content.Issuer = Issuer{
-		Holder:      take.Holder,
-		Incarnation: take.Incarnation,
+		Holder:      a.Holder,
+		Incarnation: a.Incarnation,
 		Fence:       Fence{Term: term, Index: index},
 	}
 }
 
-// apply decides one order: a known id gets its first outcome, an id that may be
-// forgotten is not run, and of all others only one with the accepted revision as
-// its base wins.
+// apply decides an order. A known id gets its first outcome again, and an id that may have
+// expired is not run. Any other order wins only if its base is the accepted revision.
 func (m *Machine) apply(index uint64, a *Apply) Outcome {
 	digest := Digest(a.Text)
 	if first, found := m.content.Orders.find(a.OrderID); found {
-		return m.repeat(first, a, digest)
+		return m.resentOutcome(first, a, digest)
 	}
-	if m.content.Orders.mayBeForgotten(a.Base) {
-		return Outcome{Kind: Forgotten, Current: m.content.Current.Number}
+	if m.content.Orders.mayBeExpired(a.Base) {
+		return Outcome{Kind: Expired, Current: m.content.Current.Number}
 	}
 	outcome := m.decide(index, a, digest)
-	m.content.Orders.remember(order{
+	m.content.Orders.add(order{
 		ID: a.OrderID, Base: a.Base, Digest: digest, At: m.content.Clock, Outcome: outcome,
 	})
 	return outcome
 }
 
-func (m *Machine) repeat(first order, a *Apply, digest string) Outcome {
+func (m *Machine) resentOutcome(first order, a *Apply, digest string) Outcome {
 	if first.Digest != digest || first.Base != a.Base {
 		return Outcome{Kind: Reused, Current: m.content.Current.Number}
 	}
@@ -174,7 +172,7 @@
 	return Outcome{Kind: Accepted, Revision: index, Current: index}
 }
 
-// accept makes a text the accepted one.
+// accept makes r the accepted revision and text its settings text.
 func (m *Machine) accept(r Revision, text []byte) {
 	m.content.Current = r
 	m.content.Text = append([]byte(nil), text...)
@@ -184,8 +182,8 @@
 	}
 }
 
-// successor returns the revision that was built on base, or the accepted one
-// when that is no longer described.
+// successor returns the revision that replaced base, or the current revision if that one is
+// no longer in the history.
 func (m *Machine) successor(base uint64) Revision {
 	for _, r := range m.content.History {
 		if r.Base == base {
--- a/control/state/orders.go
+++ b/control/state/orders.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// order is what is remembered of an order id.
+// order is the stored record of a decided order.
 type order struct {
 	ID      string    `json:"id"`
 	Base    uint64    `json:"base"`
@@ -11,24 +11,24 @@
 	Outcome Outcome   `json:"outcome"`
 }
 
-// orderBook remembers order ids for their lifetime, in order of arrival.
+// orderStore stores decided orders until their ids expire, in order of arrival.
 //
-// After an id is forgotten its resend must not run: an operator whose answer
-// was lost would otherwise apply an old tree a second time. A resend carries the
-// base of the first sending, and every forgotten order had a base of at most
-// ForgottenBase. So an unknown id with such a base is refused as forgotten; the
-// accepted revision is always above ForgottenBase, so no new order is hit.
-type orderBook struct {
-	Orders        []order `json:"orders"`
-	ForgottenBase *uint64 `json:"forgotten_base,omitempty"`
+// A resent order must not run after its id has expired: an operator whose answer was lost
+// would otherwise apply an old tree a second time. A resent order carries the same base as
+// the first one, and the base of every expired order is at most ExpiredBase. An unknown id
+// with such a base is therefore rejected as expired. The accepted revision is always above
+// ExpiredBase, so new orders are never rejected for this reason.
+type orderStore struct {
+	Orders      []order `json:"orders"`
+	ExpiredBase *uint64 `json:"forgotten_base,omitempty"`
 }
 
-// maxOrders bounds the memory of the book: above it the oldest ids are
-// forgotten before their lifetime ends.
+// maxOrders bounds the memory for stored orders. Beyond it, the oldest ids expire before the
+// end of their lifetime.
 const maxOrders = 20_000
 
-// find returns the remembered order.
-func (b *orderBook) find(id string) (order, bool) {
+// find returns the stored order with the given id.
+func (b *orderStore) find(id string) (order, bool) {
 	for i := len(b.Orders) - 1; i >= 0; i-- {
 		if b.Orders[i].ID == id {
 			return b.Orders[i], true
@@ -37,18 +37,19 @@
 	return order{}, false
 }
 
-// mayBeForgotten reports whether an unknown id with this base may be a resend
-// of an order that is no longer remembered.
-func (b *orderBook) mayBeForgotten(base uint64) bool {
-	return b.ForgottenBase != nil && base <= *b.ForgottenBase
+// mayBeExpired reports whether an unknown id with this base may be a resend of an order
+// that has expired.
+func (b *orderStore) mayBeExpired(base uint64) bool {
+	return b.ExpiredBase != nil && base <= *b.ExpiredBase
 }
 
-// remember adds a decided order.
-func (b *orderBook) remember(o order) { b.Orders = append(b.Orders, o) }
+// add stores a decided order.
+func (b *orderStore) add(o order) { b.Orders = append(b.Orders, o) }
 
-// forget drops the orders that were decided before the given time. A base above
-// the accepted revision never existed and must not raise ForgottenBase.
-func (b *orderBook) forget(before time.Time, accepted uint64) {
+// expire drops the orders that were decided before the given time and raises ExpiredBase to
+// cover them. A base above the accepted revision never existed and must not raise
+// ExpiredBase.
+func (b *orderStore) expire(before time.Time, accepted uint64) {
 	drop := max(0, len(b.Orders)-maxOrders)
 	for drop < len(b.Orders) && b.Orders[drop].At.Before(before) {
 		drop++
@@ -57,16 +58,16 @@
 		return
 	}
 	for _, o := range b.Orders[:drop] {
-		b.raise(o.Base, accepted)
+		b.raiseExpiredBase(o.Base, accepted)
 	}
 	b.Orders = append([]order(nil), b.Orders[drop:]...)
 }
 
-func (b *orderBook) raise(base, accepted uint64) {
+func (b *orderStore) raiseExpiredBase(base, accepted uint64) {
 	if base >= accepted {
 		return
 	}
-	if b.ForgottenBase == nil || base > *b.ForgottenBase {
-		b.ForgottenBase = &base
+	if b.ExpiredBase == nil || base > *b.ExpiredBase {
+		b.ExpiredBase = &base
 	}
 }
--- a/control/state/snapshot.go
+++ b/control/state/snapshot.go
@@ -12,7 +12,8 @@
 	return data, errors.Wrap(err, "encode the state")
 }
 
-// Restore replaces the whole state by a snapshot. Empty data is the empty state.
+// Restore replaces the whole state with that of a snapshot. Empty data restores the empty
+// state.
 func (m *Machine) Restore(data []byte) error {
 	var restored content
 	if len(data) > 0 {
