--- a/control/relay/receiver.go
+++ b/control/relay/receiver.go
@@ -28,10 +28,10 @@
 // Position returns the number of the last batch that was applied.
 func (r *Receiver) Position() uint64 { return r.position }
 
-// Take returns the announcements of a delta. way is the maximum time that the delta was in
-// transit. It is added to the ages, so that no announcement looks fresher than it is.
-// Batches that were already applied are skipped.
-func (r *Receiver) Take(delta []byte, way time.Duration) ([]upstream.Relayed, error) {
+// Take applies a delta and returns its announcements. transit is the maximum time that the
+// delta was under way. It is added to the ages, so that no announcement looks fresher than
+// it is. Batches that were already applied are skipped.
+func (r *Receiver) Take(delta []byte, transit time.Duration) ([]upstream.Relayed, error) {
 	if len(delta) == 0 {
 		return nil, nil
 	}
@@ -48,7 +48,7 @@
 	}
 	var all []upstream.Relayed
 	for _, b := range d.Batches {
-		relayed, err := r.takeBatch(b, d.Full, way+time.Duration(b.AgeMs)*time.Millisecond)
+		relayed, err := r.applyBatch(b, d.Full, transit+time.Duration(b.AgeMs)*time.Millisecond)
 		if err != nil {
 			return nil, err
 		}
@@ -57,7 +57,7 @@
 	return all, nil
 }
 
-func (r *Receiver) takeBatch(sent *rpc.SentBatch, full bool, age time.Duration) ([]upstream.Relayed, error) {
+func (r *Receiver) applyBatch(sent *rpc.SentBatch, full bool, age time.Duration) ([]upstream.Relayed, error) {
 	if sent.Number <= r.position {
 		return nil, nil
 	}
@@ -75,11 +75,11 @@
 	if err := checkColumns(&b); err != nil {
 		return nil, err
 	}
-	all, err := r.takeNew(&b, age)
+	all, err := r.applyAdded(&b, age)
 	if err != nil {
 		return nil, err
 	}
-	loads, err := r.takeLoads(&b, age)
+	loads, err := r.applyLoads(&b, age)
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 
 // checkColumns rejects a batch whose columns have inconsistent lengths.
 func checkColumns(b *rpc.UpstreamBatch) error {
-	loads, news, rates := len(b.Refs), len(b.NewRefs), len(b.RateRefs)
+	loads, added, rates := len(b.Refs), len(b.NewRefs), len(b.RateRefs)
 	if len(b.Ages) != loads {
 		return errors.New("columns of different lengths")
 	}
@@ -98,13 +98,13 @@
 			return errors.New("columns of different lengths")
 		}
 	}
-	if len(b.Announcements) != news || len(b.NewAges) != news || len(b.PrefillRates) != rates || len(b.DecodeRates) != rates {
+	if len(b.Announcements) != added || len(b.NewAges) != added || len(b.PrefillRates) != rates || len(b.DecodeRates) != rates {
 		return errors.New("columns of different lengths")
 	}
 	return nil
 }
 
-func (r *Receiver) takeNew(b *rpc.UpstreamBatch, age time.Duration) ([]upstream.Relayed, error) {
+func (r *Receiver) applyAdded(b *rpc.UpstreamBatch, age time.Duration) ([]upstream.Relayed, error) {
 	all := make([]upstream.Relayed, 0, len(b.NewRefs)+len(b.Refs))
 	for i, ref := range b.NewRefs {
 		var a upstream.Announcement
@@ -117,27 +117,27 @@
 	return all, nil
 }
 
-func (r *Receiver) takeLoads(b *rpc.UpstreamBatch, age time.Duration) ([]upstream.Relayed, error) {
-	if err := r.takeRates(b); err != nil {
+func (r *Receiver) applyLoads(b *rpc.UpstreamBatch, age time.Duration) ([]upstream.Relayed, error) {
+	if err := r.applyRates(b); err != nil {
 		return nil, err
 	}
 	all := make([]upstream.Relayed, len(b.Refs))
 	refs := make([]uint32, len(b.Refs))
 	ref := uint32(0)
-	for i, distance := range b.Refs {
-		ref += distance
+	for i, gap := range b.Refs {
+		ref += gap
 		a, found := r.known[ref]
 		if !found {
 			return nil, ErrGap
 		}
-		a.Sequence += usualStep
+		a.Sequence += defaultStep
 		a.Load.Running = valueAt(b.Running, i)
 		a.Load.QueuedPrefill = valueAt(b.QueuedPrefill, i) * prefillUnit
 		a.Load.HeldTokens = valueAt(b.Held, i) * heldUnit
 		refs[i] = ref
 		all[i] = upstream.Relayed{Announcement: a, Age: age + time.Duration(b.Ages[i])*ageUnit}
 	}
-	if err := takeSparse(b, all); err != nil {
+	if err := applySparse(b, all); err != nil {
 		return nil, err
 	}
 	for i, ref := range refs {
@@ -146,19 +146,19 @@
 	return all, nil
 }
 
-// takeSparse applies the columns that hold only the values that differ from their default.
-func takeSparse(b *rpc.UpstreamBatch, all []upstream.Relayed) error {
+// applySparse applies the columns that hold only the values that differ from their default.
+func applySparse(b *rpc.UpstreamBatch, all []upstream.Relayed) error {
 	columns := []struct {
 		column *rpc.Sparse
 		set    func(a *upstream.Announcement, value uint32)
 	}{
-		{b.Sequences, func(a *upstream.Announcement, v uint32) { a.Sequence += uint64(v) - usualStep }},
+		{b.Sequences, func(a *upstream.Announcement, v uint32) { a.Sequence += uint64(v) - defaultStep }},
 		{b.Waiting, func(a *upstream.Announcement, v uint32) { a.Load.Waiting = int(v) }},
 		{b.LongPrefill, func(a *upstream.Announcement, v uint32) { a.Load.LongPrefill = int(v) * prefillUnit }},
 		{b.LoadAges, func(a *upstream.Announcement, v uint32) { a.Load.Age = time.Duration(v) * loadAgeUnit }},
 	}
 	for _, c := range columns {
-		err := spread(c.column, len(all), func(place int, value uint32) { c.set(&all[place].Announcement, value) })
+		err := forEachValue(c.column, len(all), func(position int, value uint32) { c.set(&all[position].Announcement, value) })
 		if err != nil {
 			return err
 		}
@@ -166,7 +166,7 @@
 	return nil
 }
 
-func (r *Receiver) takeRates(b *rpc.UpstreamBatch) error {
+func (r *Receiver) applyRates(b *rpc.UpstreamBatch) error {
 	for i, ref := range b.RateRefs {
 		a, found := r.known[ref]
 		if !found {
--- a/control/relay/relay_test.go
+++ b/control/relay/relay_test.go
@@ -10,7 +10,7 @@
 	"celeryport/upstream"
 )
 
-var testStart = time.Unix(1_800_000_000, 0)
+var startTime = time.Unix(1_800_000_000, 0)
 
 func announcement(number, sequence int) upstream.Announcement {
 	return upstream.Announcement{
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestLoadsTakeFewBytes(t *testing.T) {
+func TestLoadsTakeAtMostNineBytesEach(t *testing.T) {
 	s := NewSender()
 	const upstreams = 600
 	for second := range 3 {
@@ -32,11 +32,11 @@
 		for i := range upstreams {
 			changes = append(changes, upstream.Relayed{Announcement: announcement(i, second+i), Age: 300 * time.Millisecond})
 		}
-		if err := s.Add(testStart.Add(time.Duration(second)*time.Second), changes); err != nil {
+		if err := s.Add(startTime.Add(time.Duration(second)*time.Second), changes); err != nil {
 			t.Fatal(err)
 		}
 	}
-	delta, err := s.Since(testStart.Add(2*time.Second), 2)
+	delta, err := s.Since(startTime.Add(2*time.Second), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,9 +50,9 @@
 // Guards against deltas that fill a voter's link although the upstreams report nothing new.
 func TestAnnouncementsWithoutLoadTakeTwoBytes(t *testing.T) {
 	s, r := NewSender(), NewReceiver()
-	const upstreams, most = 3000, 2.2 // bytes for each upstream: one for the reference, one for the age, and a shared header
+	const upstreams, maxBytes = 3000, 2.2 // bytes for each upstream: one for the reference, one for the age, and a shared header
 	for second := range 3 {
-		now := testStart.Add(time.Duration(second) * time.Second)
+		now := startTime.Add(time.Duration(second) * time.Second)
 		var changes []upstream.Relayed
 		for i := range upstreams {
 			a := announcement(i, 1+second)
@@ -66,16 +66,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		taken, err := r.Take(delta, 0)
-		if err != nil || len(taken) != upstreams {
-			t.Fatalf("got %d upstreams: %v", len(taken), err)
+		received, err := r.Take(delta, 0)
+		if err != nil || len(received) != upstreams {
+			t.Fatalf("got %d upstreams: %v", len(received), err)
 		}
-		for _, one := range taken {
-			if one.Announcement.Sequence != uint64(1+second) || one.Announcement.Load != (upstream.Load{}) || one.Age != 300*time.Millisecond {
-				t.Fatalf("got %+v", one)
+		for _, u := range received {
+			if u.Announcement.Sequence != uint64(1+second) || u.Announcement.Load != (upstream.Load{}) || u.Age != 300*time.Millisecond {
+				t.Fatalf("got %+v", u)
 			}
 		}
-		if each := float64(len(delta)) / upstreams; second > 0 && each > most {
+		if each := float64(len(delta)) / upstreams; second > 0 && each > maxBytes {
 			t.Errorf("%.2f bytes for each upstream", each)
 		}
 	}
@@ -90,14 +90,14 @@
 		registry := upstream.NewRegistry(3 * time.Second)
 		truth := upstream.NewRegistry(3 * time.Second)
 		version := uint64(0)
-		now := testStart
+		now := startTime
 		sequences := map[int]int{}
 		incarnations := map[int]uint64{}
 		type sentDelta struct {
 			delta []byte
 			at    time.Time
 		}
-		var onTheWay []sentDelta
+		var inTransit []sentDelta
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond)
 			for range rapid.IntRange(0, 4).Draw(t, "announcements") {
@@ -119,19 +119,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			onTheWay = append(onTheWay, sentDelta{delta, now})
+			inTransit = append(inTransit, sentDelta{delta, now})
 			for range rapid.IntRange(0, 2).Draw(t, "arrivals") {
-				at := rapid.IntRange(0, len(onTheWay)-1).Draw(t, "which")
-				relayed, err := r.Take(onTheWay[at].delta, now.Sub(onTheWay[at].at))
+				at := rapid.IntRange(0, len(inTransit)-1).Draw(t, "which")
+				relayed, err := r.Take(inTransit[at].delta, now.Sub(inTransit[at].at))
 				if err != nil {
 					r = NewReceiver()
 					continue
 				}
-				for _, one := range relayed {
-					registry.HearRelayed(now, one)
+				for _, u := range relayed {
+					registry.HearRelayed(now, u)
 				}
 			}
-			compare(t, registry, truth, now)
+			checkRegistry(t, registry, truth, now)
 		}
 		delta, err := s.Since(now, 0)
 		if err != nil {
@@ -139,29 +139,29 @@
 		}
 		relayed, err := NewReceiver().Take(delta, 0)
 		if err != nil || len(relayed) != len(truth.Snapshot(now).Upstreams) {
-			t.Fatalf("everything anew gives %d upstreams (%v)", len(relayed), err)
+			t.Fatalf("a full delta returned %d upstreams (%v)", len(relayed), err)
 		}
 	})
 }
 
-// compare checks that every announcement in the receiver's registry was sent by its upstream
+// checkRegistry checks that every announcement in the receiver's registry was sent by its upstream
 // and looks no fresher than it is.
-func compare(t *rapid.T, got, truth *upstream.Registry, now time.Time) {
-	real := map[string]upstream.Upstream{}
+func checkRegistry(t *rapid.T, got, truth *upstream.Registry, now time.Time) {
+	expected := map[string]upstream.Upstream{}
 	for _, u := range truth.Snapshot(now).Upstreams {
-		real[u.Announcement.Name] = u
+		expected[u.Announcement.Name] = u
 	}
 	for _, u := range got.Snapshot(now).Upstreams {
-		a, b := u.Announcement, real[u.Announcement.Name].Announcement
+		a, b := u.Announcement, expected[u.Announcement.Name].Announcement
 		if a.Incarnation > b.Incarnation || (a.Incarnation == b.Incarnation && a.Sequence > b.Sequence) {
 			t.Fatalf("%s: incarnation %d sequence %d was never announced", a.Name, a.Incarnation, a.Sequence)
 		}
-		if a.Incarnation == b.Incarnation && u.HeardAt.After(real[a.Name].HeardAt) {
-			t.Fatalf("%s looks fresher by %v than it is", a.Name, u.HeardAt.Sub(real[a.Name].HeardAt))
+		if a.Incarnation == b.Incarnation && u.HeardAt.After(expected[a.Name].HeardAt) {
+			t.Fatalf("%s looks fresher by %v than it is", a.Name, u.HeardAt.Sub(expected[a.Name].HeardAt))
 		}
-		said := announcement(0, int(a.Sequence)).Load
-		if a.Load.Running != said.Running || a.Load.Waiting != said.Waiting || a.Load.LongPrefill != said.LongPrefill ||
-			a.Load.HeldTokens != said.HeldTokens || a.Load.Age != said.Age {
+		announced := announcement(0, int(a.Sequence)).Load
+		if a.Load.Running != announced.Running || a.Load.Waiting != announced.Waiting || a.Load.LongPrefill != announced.LongPrefill ||
+			a.Load.HeldTokens != announced.HeldTokens || a.Load.Age != announced.Age {
 			t.Fatalf("%s sequence %d has the load of another announcement", a.Name, a.Sequence)
 		}
 	}
--- a/control/relay/sender.go
+++ b/control/relay/sender.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	keptBatches = 16        // a receiver that is further behind gets the full table
-	forgetAfter = time.Hour // upstreams that were not heard from for this long are removed from the table
+	maxBatches = 16        // a receiver that is further behind gets the full table
+	retention  = time.Hour // upstreams that were not heard from for this long are removed from the table
 )
 
 // Sender collects announcements into numbered batches. Each batch is encoded once for all
 // receivers.
 type Sender struct {
-	table   map[string]*sent
-	refs    uint32
-	number  uint64
-	batches []batch // oldest first
-	whole   batch   // full table as of a batch; empty if it was not requested since
+	table     map[string]*tableEntry
+	refs      uint32
+	number    uint64
+	batches   []batch // oldest first
+	fullTable batch   // full table as of a batch; empty if it was not requested since
 }
 
-// sent is the state of an upstream as of the last batch.
-type sent struct {
+// tableEntry is the state of an upstream as of the last batch.
+type tableEntry struct {
 	ref          uint32
 	announcement upstream.Announcement
 	heardAt      time.Time
@@ -43,17 +43,17 @@
 }
 
 // NewSender returns a sender that knows no upstream.
-func NewSender() *Sender { return &Sender{table: map[string]*sent{}} }
+func NewSender() *Sender { return &Sender{table: map[string]*tableEntry{}} }
 
 // Add creates a batch of the changes since the last one. It creates none if there are no
 // changes.
 func (s *Sender) Add(now time.Time, changes []upstream.Relayed) error {
-	s.forget(now)
+	s.expire(now)
 	if len(changes) == 0 {
 		return nil
 	}
 	var b rpc.UpstreamBatch
-	var known []*sent
+	var known []*tableEntry
 	before := map[uint32]upstream.Announcement{}
 	for _, c := range changes {
 		old := s.table[c.Announcement.Name]
@@ -75,7 +75,7 @@
 	}
 	s.number++
 	s.batches = append(s.batches, batch{s.number, now, encoded})
-	if excess := len(s.batches) - keptBatches; excess > 0 {
+	if excess := len(s.batches) - maxBatches; excess > 0 {
 		s.batches = slices.Delete(s.batches, 0, excess)
 	}
 	return nil
@@ -110,14 +110,14 @@
 // request the table almost at once, and encoding hundreds of upstreams takes milliseconds.
 // The encoding is therefore reused until the next batch.
 func (s *Sender) full(now time.Time) ([]byte, error) {
-	if s.whole.number != s.number || len(s.whole.encoded) == 0 {
+	if s.fullTable.number != s.number || len(s.fullTable.encoded) == 0 {
 		encoded, err := s.encodeTable(now)
 		if err != nil {
 			return nil, err
 		}
-		s.whole = batch{number: s.number, at: now, encoded: encoded}
+		s.fullTable = batch{number: s.number, at: now, encoded: encoded}
 	}
-	delta := rpc.UpstreamDelta{Position: s.number, Full: true, Batches: []*rpc.SentBatch{sentBatch(now, s.whole)}}
+	delta := rpc.UpstreamDelta{Position: s.number, Full: true, Batches: []*rpc.SentBatch{sentBatch(now, s.fullTable)}}
 	encoded, err := proto.Marshal(&delta)
 	return encoded, errors.Wrap(err, "encode upstreams")
 }
@@ -137,12 +137,12 @@
 	return pack.Text(encoded)
 }
 
-func (s *Sender) sorted() []*sent {
-	all := make([]*sent, 0, len(s.table))
+func (s *Sender) sorted() []*tableEntry {
+	all := make([]*tableEntry, 0, len(s.table))
 	for _, u := range s.table {
 		all = append(all, u)
 	}
-	slices.SortFunc(all, func(a, b *sent) int { return strings.Compare(a.announcement.Name, b.announcement.Name) })
+	slices.SortFunc(all, func(a, b *tableEntry) int { return strings.Compare(a.announcement.Name, b.announcement.Name) })
 	return all
 }
 
@@ -150,7 +150,7 @@
 // that missed a batch cannot mistake one upstream for another.
 func (s *Sender) addNew(b *rpc.UpstreamBatch, c upstream.Relayed, heardAt time.Time) error {
 	s.refs++
-	s.table[c.Announcement.Name] = &sent{ref: s.refs, announcement: c.Announcement, heardAt: heardAt}
+	s.table[c.Announcement.Name] = &tableEntry{ref: s.refs, announcement: c.Announcement, heardAt: heardAt}
 	return appendNew(b, s.refs, &c.Announcement, c.Age)
 }
 
@@ -167,9 +167,9 @@
 	return nil
 }
 
-func (s *Sender) forget(now time.Time) {
+func (s *Sender) expire(now time.Time) {
 	for name, u := range s.table {
-		if now.Sub(u.heardAt) > forgetAfter {
+		if now.Sub(u.heardAt) > retention {
 			delete(s.table, name)
 		}
 	}
--- a/control/relay/sparse.go
+++ b/control/relay/sparse.go
@@ -13,33 +13,33 @@
 }
 
 // add appends the value at a position unless it equals the default.
-func (s *sparse) add(place int, value, usual uint32) {
-	if value == usual {
+func (s *sparse) add(position int, value, defaultValue uint32) {
+	if value == defaultValue {
 		return
 	}
 	if s.column == nil {
 		s.column = &rpc.Sparse{}
 	}
-	s.column.At = append(s.column.At, uint32(place-s.last))
+	s.column.At = append(s.column.At, uint32(position-s.last))
 	s.column.To = append(s.column.To, value)
-	s.last = place
+	s.last = position
 }
 
-// spread calls set for each value of a column with the given number of positions.
-func spread(column *rpc.Sparse, places int, set func(place int, value uint32)) error {
+// forEachValue calls set for each value of a column of the given length.
+func forEachValue(column *rpc.Sparse, length int, set func(position int, value uint32)) error {
 	if column == nil {
 		return nil
 	}
 	if len(column.At) != len(column.To) {
 		return errors.New("columns of different lengths")
 	}
-	place := 0
-	for i, distance := range column.At {
-		place += int(distance)
-		if place >= places {
+	position := 0
+	for i, gap := range column.At {
+		position += int(gap)
+		if position >= length {
 			return errors.New("position outside of the column")
 		}
-		set(place, column.To[i])
+		set(position, column.To[i])
 	}
 	return nil
 }
