--- a/control/attachment/choice.go
+++ b/control/attachment/choice.go
@@ -7,42 +7,44 @@
 )
 
 const (
-	// reviewInterval is how often an attached instance looks whether the first voter in
-	// its order would answer it again.
+	// reviewInterval is how often an attached instance checks whether its preferred voter
+	// answers again.
 	reviewInterval = 2 * time.Second
-	// reviewPause is how much longer it leaves that voter alone after it did not answer:
-	// each try delays the instance's own sync.
+	// reviewPause is the additional delay before that voter is checked again after it did
+	// not answer, because each check delays the instance's own sync.
 	reviewPause = 6 * time.Second
-	// probeInterval is how often one whose voter hears no leader asks another voter. It is
-	// short against the time that a change may take to be in force, and long enough that
-	// the questions of a whole fleet leave the voters time to elect a leader.
+	// probeInterval is how often an instance whose voter has no contact to a leader probes
+	// another voter. It is short compared with the time that a change may take to be in
+	// force, and long enough that the probes of a whole fleet leave the voters time to elect
+	// a leader.
 	probeInterval = time.Second
 )
 
-// Choice decides which voter an instance asks, and when it looks for another one. It is
+// Choice decides which voter an instance syncs with and when it checks another one. It is
 // not safe for concurrent use.
 type Choice struct {
-	detached   bool // the voter of this instance hears no leader
+	detached   bool // the voter of this instance has no contact to a leader
 	reviewedAt time.Time
 	probedAt   time.Time
-	probed     string // voter that was asked last while detached
-	failed     string // voter that did not answer a sync
+	probed     string // voter that was probed last while detached
+	failed     string // last voter that did not answer a sync
 }
 
-// Detached reports whether the voter of this instance hears no leader.
+// Detached reports whether the voter of this instance has no contact to a leader.
 func (c *Choice) Detached() bool { return c.detached }
 
-// SetDetached takes in what the voter says of that.
+// SetDetached records whether the voter of this instance has contact to a leader, as the
+// voter reported.
 func (c *Choice) SetDetached(detached bool) { c.detached = detached }
 
-// Failed notes that a voter did not answer a sync.
+// Failed records that a voter did not answer a sync.
 func (c *Choice) Failed(voter string) { c.failed = voter }
 
-// LastFailed returns the voter that did not answer a sync last.
+// LastFailed returns the last voter that did not answer a sync.
 func (c *Choice) LastFailed() string { return c.failed }
 
-// Attached notes that the instance of that name goes on with another voter. The name
-// spreads the later looks of instances that started together.
+// Attached records that the instance with the given name switched to voter. A hash of the
+// name spreads the checks of instances that started at the same time.
 func (c *Choice) Attached(now time.Time, name, voter string) {
 	c.probed = ""
 	if c.failed == voter {
@@ -51,12 +53,12 @@
 	c.reviewedAt = now.Add(time.Duration(xxhash.Sum64String(name) % uint64(reviewInterval)))
 }
 
-// Unanswered notes that a voter did not answer the question whether it hears a leader.
+// Unanswered records that a voter did not answer whether it has contact to a leader.
 func (c *Choice) Unanswered(now time.Time) { c.reviewedAt = now.Add(reviewPause) }
 
-// Next returns the voter to ask whether it hears a leader, of the voters in the order of
-// this instance; empty if none is due. While its own voter hears none, that is one after
-// the other, else the first.
+// Next returns the voter to ask whether it has contact to a leader, or an empty string if no
+// question is due. order lists the voters in the order of preference of this instance. While
+// detached, Next goes through all voters in turn; otherwise it returns the preferred one.
 func (c *Choice) Next(now time.Time, own string, order []string) string {
 	var next string
 	switch {
@@ -76,7 +78,7 @@
 	return next
 }
 
-// after returns the address that follows last in a list, but for one address.
+// after returns the element of list that follows last, skipping own and wrapping around.
 func after(list []string, own, last string) string {
 	at := -1
 	for n, address := range list {
--- a/control/attachment/doc.go
+++ b/control/attachment/doc.go
@@ -1,8 +1,8 @@
-// Package attachment is a voter's account of the instances that sync with it
-// instead of with the leader, and of what the leader has heard of them. It is
-// pure: the caller hands in the time, and all messages travel elsewhere.
+// Package attachment tracks the instances that sync with a voter instead of with the leader,
+// and what the leader knows of them. It does no I/O and reads no clock: callers pass in the
+// time and exchange the messages.
 //
-// One leader can't answer the syncs of hundreds of instances and lead the control
-// group beside them on a small share of a processor. So each voter answers a part
-// of the instances, and passes what they state on to the leader in its own syncs.
+// The leader cannot answer the syncs of hundreds of instances and lead the control group at
+// the same time on a small share of a processor. Each voter therefore answers a part of the
+// instances and forwards their reports to the leader in its own syncs.
 package attachment
--- a/control/attachment/order.go
+++ b/control/attachment/order.go
@@ -9,34 +9,34 @@
 	"celeryport/membership"
 )
 
-// Order lists the addresses of voters in the order in which an instance asks them:
-// those of its own availability zone first, and within a zone by a hash of both names,
-// so that each voter gets an equal part of the instances.
-// The address that failed last goes to the end.
+// Order sorts the addresses of voters by the preference of an instance: voters in its own
+// availability zone come first, and within a zone the order follows a hash of both names, so
+// that each voter gets an equal share of the instances. The address that failed last comes
+// last.
 func Order(addresses []string, instances []membership.Instance, name, availabilityZone, failed string) []string {
 	zones := map[string]string{}
 	for i := range instances {
 		zones[instances[i].ControlAddress] = instances[i].AvailabilityZone
 	}
-	var near, far []string
+	var sameZone, otherZones []string
 	for _, address := range shuffled(addresses, name) {
 		switch {
 		case address == failed:
 		case availabilityZone != "" && zones[address] == availabilityZone:
-			near = append(near, address)
+			sameZone = append(sameZone, address)
 		default:
-			far = append(far, address)
+			otherZones = append(otherZones, address)
 		}
 	}
-	near = append(near, far...)
+	sameZone = append(sameZone, otherZones...)
 	if failed != "" && slices.Contains(addresses, failed) {
-		near = append(near, failed)
+		sameZone = append(sameZone, failed)
 	}
-	return near
+	return sameZone
 }
 
-// shuffled returns a list in an order that differs with the name, and in which each
-// place is as likely for each address, whatever part of the list is left out later.
+// shuffled returns the list in a pseudo-random order that depends on name. Every address is
+// equally likely at every position, regardless of which addresses are removed afterwards.
 func shuffled(list []string, name string) []string {
 	list = slices.Clone(list)
 	slices.SortFunc(list, func(a, b string) int {
--- a/control/attachment/roster.go
+++ b/control/attachment/roster.go
@@ -8,51 +8,52 @@
 	"celeryport/membership"
 )
 
-// Roster holds the instances that are attached to one voter. It is not safe for
-// concurrent use.
+// Roster holds the instances that are attached to a voter. It is not safe for concurrent
+// use.
 type Roster struct {
-	keep    time.Duration // how long a silent instance stays attached
-	entries map[string]*entry
+	retention time.Duration // an instance is removed after this long without a sync
+	entries   map[string]*entry
 }
 
-// entry is one attached instance.
+// entry is an attached instance.
 type entry struct {
-	instance membership.Instance
-	heardAt  time.Time
-	floor    uint64 // a leader knows this incarnation of the name, which is higher
-	taken    bool   // a leader has taken this incarnation in
-	unknown  bool   // the leader does not know it: it must be stated whole
+	instance       membership.Instance
+	heardAt        time.Time
+	minIncarnation uint64 // higher incarnation of the name that a leader knows, 0 if none
+	acknowledged   bool   // a leader has acknowledged this incarnation
+	needsFull      bool   // the leader does not know it and needs a full report
 }
 
-// Statement is what a voter tells the leader of one attached instance.
+// Statement is a voter's report to the leader about one attached instance.
 type Statement struct {
 	Instance membership.Instance
-	Whole    bool          // the leader may not know what never changes of the instance
-	Age      time.Duration // since the instance stated it
+	Whole    bool          // the leader may lack the fields that never change
+	Age      time.Duration // time since the instance reported
 }
 
-// NewRoster returns an empty roster that keeps silent instances for so long.
-func NewRoster(keep time.Duration) *Roster {
-	return &Roster{keep: keep, entries: map[string]*entry{}}
+// NewRoster returns an empty roster. An instance is removed after the retention time without
+// a sync.
+func NewRoster(retention time.Duration) *Roster {
+	return &Roster{retention: retention, entries: map[string]*entry{}}
 }
 
-// Heard takes an instance's statement about itself, and reports whether it is news
-// that the leader must hear at once: a start, or a change of the state.
-func (r *Roster) Heard(now time.Time, i membership.Instance) (verdict membership.Verdict, news bool) {
+// Heard records an instance's report about itself. The result urgent is true if the leader
+// has to be informed at once, because the instance started or changed its state.
+func (r *Roster) Heard(now time.Time, i membership.Instance) (verdict membership.Verdict, urgent bool) {
 	known := r.entries[i.Name]
-	if known != nil && i.Incarnation < max(known.instance.Incarnation, known.floor) {
+	if known != nil && i.Incarnation < max(known.instance.Incarnation, known.minIncarnation) {
 		return membership.Stale, false
 	}
 	if known == nil || i.Incarnation > known.instance.Incarnation {
-		r.entries[i.Name] = &entry{instance: i, heardAt: now, unknown: true}
+		r.entries[i.Name] = &entry{instance: i, heardAt: now, needsFull: true}
 		return membership.Taken, true
 	}
-	news = known.instance.State != i.State
+	urgent = known.instance.State != i.State
 	known.instance, known.heardAt = i, now
-	return membership.Taken, news
+	return membership.Taken, urgent
 }
 
-// Known returns the attached instance with the name.
+// Known returns the attached instance with the given name.
 func (r *Roster) Known(name string) (membership.Instance, bool) {
 	if known, found := r.entries[name]; found {
 		return known.instance, true
@@ -63,22 +64,23 @@
 // Incarnation returns the highest known incarnation of a name, 0 if none.
 func (r *Roster) Incarnation(name string) uint64 {
 	if known, found := r.entries[name]; found {
-		return max(known.instance.Incarnation, known.floor)
+		return max(known.instance.Incarnation, known.minIncarnation)
 	}
 	return 0
 }
 
-// Size returns how many instances are attached.
+// Size returns the number of attached instances.
 func (r *Roster) Size() int { return len(r.entries) }
 
-// Statements returns what the leader is to be told, by name. Each sync states all
-// attached instances, since the leader takes them for gone when nobody states them.
+// Statements returns the reports for the leader, sorted by name. Every sync reports all
+// attached instances, because the leader considers an instance gone when no voter reports
+// it.
 func (r *Roster) Statements(now time.Time) []Statement {
 	r.expire(now)
 	statements := make([]Statement, 0, len(r.entries))
 	for _, e := range r.entries {
-		if e.instance.Incarnation >= e.floor {
-			statements = append(statements, Statement{Instance: e.instance, Whole: e.unknown, Age: now.Sub(e.heardAt)})
+		if e.instance.Incarnation >= e.minIncarnation {
+			statements = append(statements, Statement{Instance: e.instance, Whole: e.needsFull, Age: now.Sub(e.heardAt)})
 		}
 	}
 	slices.SortFunc(statements, func(a, b Statement) int { return strings.Compare(a.Instance.Name, b.Instance.Name) })
@@ -87,40 +89,40 @@
 
 func (r *Roster) expire(now time.Time) {
 	for name, e := range r.entries {
-		if now.Sub(e.heardAt) > r.keep {
+		if now.Sub(e.heardAt) > r.retention {
 			delete(r.entries, name)
 		}
 	}
 }
 
-// Taken notes that a leader has taken a statement in.
+// Taken records that a leader has acknowledged a report.
 func (r *Roster) Taken(name string, incarnation uint64, state membership.State) {
 	e, found := r.entries[name]
 	if !found || e.instance.Incarnation != incarnation {
 		return
 	}
-	e.taken, e.unknown = true, false
+	e.acknowledged, e.needsFull = true, false
 	if state == membership.Gone {
-		delete(r.entries, name) // it said goodbye, and the leader knows
+		delete(r.entries, name) // it left, and the leader knows
 	}
 }
 
-// Unknown notes that the leader does not know an instance that was stated in brief.
+// Unknown records that the leader does not know an instance that was reported in brief form.
 func (r *Roster) Unknown(name string) {
 	if e, found := r.entries[name]; found {
-		e.unknown = true
+		e.needsFull = true
 	}
 }
 
-// Superseded notes that a leader knows a higher incarnation of a name.
+// Superseded records that a leader knows a higher incarnation of a name.
 func (r *Roster) Superseded(name string, incarnation uint64) {
 	if e, found := r.entries[name]; found {
-		e.floor = max(e.floor, incarnation)
+		e.minIncarnation = max(e.minIncarnation, incarnation)
 	}
 }
 
-// IsTaken reports whether a leader has taken the present incarnation in.
+// IsTaken reports whether a leader has acknowledged the current incarnation.
 func (r *Roster) IsTaken(name string) bool {
 	e, found := r.entries[name]
-	return found && e.taken
+	return found && e.acknowledged
 }
--- a/control/attachment/roster_test.go
+++ b/control/attachment/roster_test.go
@@ -9,80 +9,80 @@
 	"celeryport/membership"
 )
 
-var start = time.Unix(1_700_000_000, 0)
+var startTime = time.Unix(1_700_000_000, 0)
 
-func TestStatementsAreWholeUntilTheLeaderHasThem(t *testing.T) {
-	// A voter states its instances in brief to save bytes. A new leader knows none of
-	// them; what it does not know must be stated whole, or it never hands them out.
+func TestReportsAreFullUntilLeaderAcknowledges(t *testing.T) {
+	// A voter sends brief reports to save bytes. A new leader knows none of the instances
+	// and needs a full report of each; without one it would never publish their addresses.
 	r := NewRoster(2 * time.Second)
 	i := membership.Instance{Name: "a", Incarnation: 1, Address: "10.0.0.1:1"}
-	if _, news := r.Heard(start, i); !news {
-		t.Error("an instance that starts is no news")
+	if _, urgent := r.Heard(startTime, i); !urgent {
+		t.Error("the start of an instance is not reported as urgent")
 	}
-	whole := func() bool { return r.Statements(start)[0].Whole }
-	if !whole() {
-		t.Error("the first statement is brief")
+	full := func() bool { return r.Statements(startTime)[0].Whole }
+	if !full() {
+		t.Error("the first report is brief")
 	}
 	r.Taken("a", 1, membership.Live)
-	if whole() || !r.IsTaken("a") {
-		t.Error("the leader has it, and it is stated whole or not taken")
+	if full() || !r.IsTaken("a") {
+		t.Error("the leader acknowledged the report, but the next one is full or the instance is not acknowledged")
 	}
 	r.Unknown("a")
-	if !whole() {
-		t.Error("the leader does not know it, and the statement is brief")
+	if !full() {
+		t.Error("the leader does not know the instance, but the report is brief")
 	}
 }
 
-func TestSilentInstancesAreNotStated(t *testing.T) {
-	// An instance went to another voter or died. If this one went on stating it, the
-	// leader would hand out its address for ever.
+func TestSilentInstancesAreNotReported(t *testing.T) {
+	// An instance moved to another voter or died. If this voter kept reporting it, the
+	// leader would publish its address for ever.
 	r := NewRoster(2 * time.Second)
-	r.Heard(start, membership.Instance{Name: "a", Incarnation: 1})
-	if got := r.Statements(start.Add(2 * time.Second))[0].Age; got != 2*time.Second {
-		t.Errorf("the statement is %s old, want 2s", got)
+	r.Heard(startTime, membership.Instance{Name: "a", Incarnation: 1})
+	if got := r.Statements(startTime.Add(2 * time.Second))[0].Age; got != 2*time.Second {
+		t.Errorf("the report is %s old, want 2s", got)
 	}
-	if got := r.Statements(start.Add(3 * time.Second)); len(got) != 0 || r.Size() != 0 {
-		t.Errorf("a silent instance is stated: %v", got)
+	if got := r.Statements(startTime.Add(3 * time.Second)); len(got) != 0 || r.Size() != 0 {
+		t.Errorf("a silent instance is reported: %v", got)
 	}
 }
 
-func TestSupersededInstanceIsToldSo(t *testing.T) {
+func TestSupersededInstanceIsRejected(t *testing.T) {
 	r := NewRoster(2 * time.Second)
-	r.Heard(start, membership.Instance{Name: "a", Incarnation: 3})
+	r.Heard(startTime, membership.Instance{Name: "a", Incarnation: 3})
 	r.Superseded("a", 7)
-	if got := r.Statements(start); len(got) != 0 {
-		t.Errorf("a superseded incarnation is stated: %v", got)
+	if got := r.Statements(startTime); len(got) != 0 {
+		t.Errorf("a superseded incarnation is reported: %v", got)
 	}
-	if verdict, _ := r.Heard(start, membership.Instance{Name: "a", Incarnation: 3}); verdict != membership.Stale {
-		t.Error("a superseded incarnation is taken")
+	if verdict, _ := r.Heard(startTime, membership.Instance{Name: "a", Incarnation: 3}); verdict != membership.Stale {
+		t.Error("a superseded incarnation is accepted")
 	}
 	if got := r.Incarnation("a"); got != 7 {
 		t.Errorf("the known incarnation is %d, want 7", got)
 	}
-	if verdict, news := r.Heard(start, membership.Instance{Name: "a", Incarnation: 8}); verdict != membership.Taken || !news {
-		t.Error("a higher incarnation is not taken as news")
+	if verdict, urgent := r.Heard(startTime, membership.Instance{Name: "a", Incarnation: 8}); verdict != membership.Taken || !urgent {
+		t.Error("a higher incarnation is not accepted as urgent")
 	}
 }
 
-func TestGoodbyeIsStatedUntilTheLeaderHasIt(t *testing.T) {
+func TestDepartureIsReportedUntilLeaderAcknowledges(t *testing.T) {
 	r := NewRoster(2 * time.Second)
-	r.Heard(start, membership.Instance{Name: "a", Incarnation: 1})
+	r.Heard(startTime, membership.Instance{Name: "a", Incarnation: 1})
 	r.Taken("a", 1, membership.Live)
-	if _, news := r.Heard(start, membership.Instance{Name: "a", Incarnation: 1, State: membership.Gone}); !news {
-		t.Error("a goodbye is no news")
+	if _, urgent := r.Heard(startTime, membership.Instance{Name: "a", Incarnation: 1, State: membership.Gone}); !urgent {
+		t.Error("the departure of an instance is not urgent")
 	}
-	if len(r.Statements(start)) != 1 {
-		t.Error("a goodbye is not stated")
+	if len(r.Statements(startTime)) != 1 {
+		t.Error("a departure is not reported")
 	}
 	r.Taken("a", 1, membership.Gone)
 	if r.Size() != 0 {
-		t.Error("an instance that said goodbye stays attached")
+		t.Error("an instance that left stays attached")
 	}
 }
 
 func TestOrderSpreadsInstancesWithinTheirZone(t *testing.T) {
-	// Without an order of its own for each instance, all would ask one voter, and the
-	// others would have nothing to do.
+	// If all instances had the same order, all would sync with the same voter and the other
+	// voters would be idle.
 	voters := []string{"v0", "v1", "v2", "v3"}
 	instances := []membership.Instance{
 		{ControlAddress: "v0", AvailabilityZone: "a"},
@@ -95,16 +95,16 @@
 		order := Order(voters, instances, fmt.Sprint("front-", n), "b", "")
 		firsts[order[0]]++
 		if sorted := slices.Sorted(slices.Values(order)); !slices.Equal(sorted, voters) {
-			t.Fatalf("%v is not all of %v", order, voters)
+			t.Fatalf("order %v does not list all of %v", order, voters)
 		}
 	}
 	if firsts["v2"] < 60 || firsts["v3"] < 60 || firsts["v2"]+firsts["v3"] != 200 {
-		t.Errorf("200 instances of zone b begin with %v", firsts)
+		t.Errorf("preferred voters of 200 instances in zone b: %v", firsts)
 	}
 	if order := Order(voters, instances, "front-1", "b", "v2"); order[3] != "v2" || order[0] != "v3" {
-		t.Errorf("after v2 failed the order is %v", order)
+		t.Errorf("order after v2 failed: %v", order)
 	}
 	if order := Order(nil, nil, "front-1", "b", "v2"); len(order) != 0 {
-		t.Errorf("nobody is known, and the order is %v", order)
+		t.Errorf("no voter is known, but the order is %v", order)
 	}
 }
