--- a/membership/instance.go
+++ b/membership/instance.go
@@ -1,19 +1,19 @@
-// Package membership holds what the system knows of its own instances.
+// Package membership tracks the instances of the system and their leases.
 package membership
 
 // State is the state of an instance.
 type State uint8
 
 const (
-	// Live instances are handed out to callers.
+	// Live instances are published to callers.
 	Live State = iota
-	// Draining instances finish what they have and are no longer handed out.
+	// Draining instances finish their calls and are no longer published.
 	Draining
-	// Gone instances did not renew their lease or said goodbye.
+	// Gone instances left or did not renew their lease.
 	Gone
 )
 
-// String returns the wire form.
+// String returns the name of the state in the wire format.
 func (s State) String() string {
 	switch s {
 	case Live:
@@ -25,16 +25,16 @@
 	}
 }
 
-// Instance is one entry instance, as published to all.
+// Instance describes an instance, as published to all others.
 type Instance struct {
 	Name             string `json:"name"`
-	Incarnation      uint64 `json:"incarnation"` // grows with each start of the process
-	Address          string `json:"address"`     // traffic
+	Incarnation      uint64 `json:"incarnation"` // increases with each start of the process
+	Address          string `json:"address"`     // for calls
 	ControlAddress   string `json:"control_address"`
 	AvailabilityZone string `json:"availability_zone"`
 	Region           string `json:"region,omitempty"`
 	State            State  `json:"state"`
 	Voter            bool   `json:"voter"`
-	Revision         uint64 `json:"revision"`              // settings revision that it confirmed
-	LogVersion       int    `json:"log_version,omitempty"` // of a voter: newest version of log entries that it can read
+	Revision         uint64 `json:"revision"`              // settings revision that the instance has confirmed
+	LogVersion       int    `json:"log_version,omitempty"` // newest version of log entries that a voter can read
 }
--- a/membership/table.go
+++ b/membership/table.go
@@ -6,49 +6,47 @@
 	"time"
 )
 
-// Table is the leader's account of all instances and their leases. It is not
-// replicated: a new leader starts an empty one and learns the instances from
-// their syncs within one interval. Table is pure and not safe for concurrent
-// use.
+// Table is the leader's view of all instances and their leases. It is not replicated: a new
+// leader starts with an empty table and learns the instances from their syncs within one
+// interval. Table does no I/O, reads no clock and is not safe for concurrent use.
 type Table struct {
-	timing   Timing
-	since    time.Time // when this table began
-	revision uint64    // grows with each change that others must learn
-	members  map[string]*member
-	former   []member // earlier incarnations whose lease may still be valid
+	timing    Timing
+	createdAt time.Time // when this table was created
+	revision  uint64    // incremented by each change that is published to other instances
+	members   map[string]*member
+	former    []member // earlier incarnations whose lease may still be valid
 }
 
-// member is one instance as the leader knows it.
+// member is the leader's record of one instance.
 type member struct {
-	instance Instance
-	changed  uint64    // table revision of its last visible change
-	granted  time.Time // when a lease was last granted to it, zero if never
-	heardAt  time.Time
-	holds    bool // its lease may still be valid
+	instance   Instance
+	changed    uint64    // table revision of the last visible change
+	grantedAt  time.Time // when the last lease was granted, zero if never
+	heardAt    time.Time
+	holdsLease bool // the lease may still be valid
 }
 
-// NewTable returns an empty table that counts from now on.
+// NewTable returns an empty table that was created at now.
 func NewTable(now time.Time, timing Timing) *Table {
-	return &Table{timing: timing, since: now, members: map[string]*member{}}
+	return &Table{timing: timing, createdAt: now, members: map[string]*member{}}
 }
 
-// Verdict says how the table took a statement of an instance.
+// Verdict is the result of processing an instance's report.
 type Verdict uint8
 
 const (
-	// Taken statements are the newest of their instance.
+	// Taken reports are the newest of their instance.
 	Taken Verdict = iota
-	// Stale statements come from an older incarnation than the known one.
+	// Stale reports come from an older incarnation than the known one.
 	Stale
 )
 
-// Passed takes an instance's statement about itself that another instance heard so
-// long ago and passes on. Statements of one instance may come by two ways, and the
-// older one last, so one that is older than what is known is ignored, and an instance
-// that drains goes on draining.
+// Passed records an instance's report that a voter received age ago and forwarded. Reports
+// of one instance may arrive over two paths and out of order. A report that is older than
+// the last known one is ignored, and a draining instance stays draining.
 //
-// Such an instance holds no lease that it admits by. That it was heard counts like one:
-// a revision is not taken to be in force while it lives and has an older one.
+// The instance has no lease from this leader, but the report counts as one: no revision is
+// considered in force while the instance is live and has confirmed only an older revision.
 func (t *Table) Passed(now time.Time, age time.Duration, i Instance) Verdict {
 	heardAt := now.Add(-age)
 	if known, found := t.members[i.Name]; found && known.instance.Incarnation == i.Incarnation {
@@ -68,7 +66,7 @@
 	return Taken
 }
 
-// Heard takes an instance's statement about itself.
+// Heard records an instance's report about itself.
 func (t *Table) Heard(now time.Time, i Instance) Verdict {
 	known, found := t.members[i.Name]
 	if !found {
@@ -83,51 +81,52 @@
 		t.retire(known)
 	}
 	if i.State == Gone {
-		known.holds = false
+		known.holdsLease = false
 	}
 	known.instance = i
 	known.heardAt = now
 	if visible {
-		t.touch(known)
+		t.markChanged(known)
 	}
 	return Taken
 }
 
-// retire keeps the lease of a former incarnation in the account. Its process is
-// most likely dead; but one that was only frozen wakes with a lease that is
-// still valid and would admit by its old revision.
+// retire keeps track of the lease of a previous incarnation. Its process is most likely
+// dead. If it was only suspended, it may resume with a valid lease and admit calls under its
+// old revision.
 func (t *Table) retire(known *member) {
-	if known.holds {
+	if known.holdsLease {
 		t.former = append(t.former, *known)
 	}
-	known.holds = false
+	known.holdsLease = false
 }
 
-// visibleChange ignores the confirmed revision, which others need not learn.
+// visibleChange reports whether two reports differ in more than the confirmed revision,
+// which is not published to other instances.
 func visibleChange(old, i Instance) bool {
 	old.Revision = i.Revision
 	return old != i
 }
 
-// Granted notes that a lease was granted to the instance now.
+// Granted records that a lease was granted to the instance at now.
 func (t *Table) Granted(now time.Time, name string) {
 	if m, found := t.members[name]; found {
-		m.granted = now
-		m.holds = true
+		m.grantedAt = now
+		m.holdsLease = true
 	}
 }
 
-// Expire moves instances whose lease has surely lapsed to Gone and forgets
-// those that were gone for long.
+// Expire marks instances as gone once their lease has certainly lapsed, and removes those
+// that have been gone for longer than the retention time.
 func (t *Table) Expire(now time.Time) {
 	t.former = slices.DeleteFunc(t.former, func(m member) bool { return t.lapsed(now, &m) })
 	for name, m := range t.members {
-		if m.holds && t.lapsed(now, m) {
-			m.holds = false
+		if m.holdsLease && t.lapsed(now, m) {
+			m.holdsLease = false
 		}
 		if m.instance.State != Gone && t.silent(now, m) {
 			m.instance.State = Gone
-			t.touch(m)
+			t.markChanged(m)
 		}
 		if m.instance.State == Gone && now.Sub(m.heardAt) > t.timing.Kept {
 			delete(t.members, name)
@@ -136,31 +135,31 @@
 }
 
 func (t *Table) lapsed(now time.Time, m *member) bool {
-	return now.Sub(m.granted) > t.timing.Lease+t.timing.Margin
+	return now.Sub(m.grantedAt) > t.timing.Lease+t.timing.Margin
 }
 
 func (t *Table) silent(now time.Time, m *member) bool {
 	return now.Sub(m.heardAt) > t.timing.Lease+t.timing.Margin
 }
 
-func (t *Table) touch(m *member) {
+func (t *Table) markChanged(m *member) {
 	t.revision++
 	m.changed = t.revision
 }
 
-// Settled reports whether the table is old enough to know every instance that
-// may hold a lease. A lease that the former leader granted may live on for its
-// whole length, and the new leader knows nothing of the holder until it syncs.
+// Settled reports whether the table is old enough to know every instance that may hold a
+// lease. A lease that the previous leader granted may stay valid for its whole duration, and
+// the new leader does not know its holder until the holder syncs.
 func (t *Table) Settled(now time.Time) bool {
-	return now.Sub(t.since) > t.timing.Lease+t.timing.Margin
+	return now.Sub(t.createdAt) > t.timing.Lease+t.timing.Margin
 }
 
-// Outstanding returns the instances that may still admit by a revision below
-// the given one, ordered by name. Expire must have been called with this time.
+// Outstanding returns the instances that may still admit calls under a revision below the
+// given one, sorted by name. Expire must have been called with the current time before.
 func (t *Table) Outstanding(revision uint64) []Instance {
 	var found []Instance
 	for _, m := range t.members {
-		if m.holds && m.instance.Revision < revision {
+		if m.holdsLease && m.instance.Revision < revision {
 			found = append(found, m.instance)
 		}
 	}
@@ -173,8 +172,8 @@
 	return found
 }
 
-// InForce reports whether no instance can admit any more by a revision below
-// the given one.
+// InForce reports whether no instance can admit calls under a revision below the given one
+// any more.
 func (t *Table) InForce(now time.Time, revision uint64) bool {
 	t.Expire(now)
 	return t.Settled(now) && len(t.Outstanding(revision)) == 0
@@ -183,8 +182,7 @@
 // Revision returns the number of the newest visible change.
 func (t *Table) Revision() uint64 { return t.revision }
 
-// Changed returns the instances that changed after the given table revision,
-// ordered by name.
+// Changed returns the instances that changed after the given table revision, sorted by name.
 func (t *Table) Changed(after uint64) []Instance {
 	var found []Instance
 	for _, m := range t.members {
@@ -196,7 +194,7 @@
 	return found
 }
 
-// Known returns the instance with the name, gone or not.
+// Known returns the instance with the given name, whether or not it is gone.
 func (t *Table) Known(name string) (Instance, bool) {
 	if m, found := t.members[name]; found {
 		return m.instance, true
@@ -212,7 +210,7 @@
 	return 0
 }
 
-// Find returns the instance with the name unless it is gone.
+// Find returns the instance with the given name unless it is gone.
 func (t *Table) Find(name string) (Instance, bool) {
 	if m, found := t.members[name]; found && m.instance.State != Gone {
 		return m.instance, true
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -8,23 +8,23 @@
 )
 
 var (
-	testStart  = time.Unix(1_800_000_000, 0)
+	startTime  = time.Unix(1_800_000_000, 0)
 	testTiming = Timing{Lease: 3 * time.Second, Margin: time.Second, Kept: time.Hour}
 )
 
 const (
-	lease = 3 * time.Second
-	whole = 4 * time.Second // lease and margin
+	lease          = 3 * time.Second
+	leaseAndMargin = 4 * time.Second // lease and margin
 )
 
-// settledTable is a table that is old enough to count lapses.
+// settledTable returns a table and a time at which the table is settled.
 func settledTable() (*Table, time.Time) {
-	return NewTable(testStart, testTiming), testStart.Add(whole + 1)
+	return NewTable(startTime, testTiming), startTime.Add(leaseAndMargin + 1)
 }
 
 func TestInForceWaitsForEveryLease(t *testing.T) {
-	// A revision counts as in force while some instance still admits by an older
-	// one: operators believe that a key is revoked, and it still opens doors.
+	// A revision is considered in force while an instance still admits calls under an older
+	// one: operators would believe that a key is revoked although it is still accepted.
 	at := func(incarnation, revision uint64, state State) Instance {
 		return Instance{Name: "i1", Incarnation: incarnation, Revision: revision, State: state}
 	}
@@ -37,16 +37,16 @@
 			t.Heard(now, at(1, 1, Live))
 			t.Granted(now, "i1")
 		}, lease, false},
-		"its lease has surely lapsed": {func(t *Table, now time.Time) {
+		"its lease has certainly lapsed": {func(t *Table, now time.Time) {
 			t.Heard(now, at(1, 1, Live))
 			t.Granted(now, "i1")
-		}, whole + 1, true},
+		}, leaseAndMargin + 1, true},
 		"confirmed": {func(t *Table, now time.Time) {
 			t.Heard(now, at(1, 1, Live))
 			t.Granted(now, "i1")
 			t.Heard(now, at(1, 2, Live))
 		}, 0, true},
-		"said goodbye": {func(t *Table, now time.Time) {
+		"left": {func(t *Table, now time.Time) {
 			t.Heard(now, at(1, 1, Live))
 			t.Granted(now, "i1")
 			t.Heard(now, at(1, 1, Gone))
@@ -58,18 +58,18 @@
 		"never had a lease": {func(t *Table, now time.Time) {
 			t.Heard(now, at(1, 1, Live))
 		}, 0, true},
-		"restarted while its former process may only be frozen": {func(t *Table, now time.Time) {
+		"restarted while its previous process may be suspended": {func(t *Table, now time.Time) {
 			t.Heard(now, at(1, 1, Live))
 			t.Granted(now, "i1")
 			t.Heard(now, at(2, 2, Live))
 			t.Granted(now, "i1")
 		}, lease, false},
-		"the former process's lease has lapsed too": {func(t *Table, now time.Time) {
+		"the lease of the previous process has lapsed too": {func(t *Table, now time.Time) {
 			t.Heard(now, at(1, 1, Live))
 			t.Granted(now, "i1")
 			t.Heard(now, at(2, 2, Live))
 			t.Granted(now, "i1")
-		}, whole + 1, true},
+		}, leaseAndMargin + 1, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -83,45 +83,45 @@
 }
 
 func TestNewLeaderWaitsOneLease(t *testing.T) {
-	// A new leader has heard nobody yet, so nobody is outstanding. An instance
-	// that its predecessor granted a lease may still admit by old settings.
-	table := NewTable(testStart, testTiming)
-	if table.InForce(testStart.Add(lease), 1) {
-		t.Fatal("in force before the former leader's leases can have lapsed")
+	// A new leader has received no reports yet, so no instance is outstanding. An instance
+	// with a lease from the previous leader may still admit calls under old settings.
+	table := NewTable(startTime, testTiming)
+	if table.InForce(startTime.Add(lease), 1) {
+		t.Fatal("in force before the leases of the previous leader can have lapsed")
 	}
-	if !table.InForce(testStart.Add(whole+1), 1) {
+	if !table.InForce(startTime.Add(leaseAndMargin+1), 1) {
 		t.Fatal("not in force after every lease has lapsed")
 	}
 }
 
 func TestOlderIncarnationIsStale(t *testing.T) {
-	// A late message of a dead process must not hide its successor.
+	// A late message of a dead process must not replace the report of its successor.
 	table, now := settledTable()
 	table.Heard(now, Instance{Name: "i1", Incarnation: 2, Address: "new"})
 	if table.Heard(now, Instance{Name: "i1", Incarnation: 1, Address: "old"}) != Stale {
-		t.Fatal("an older incarnation was taken")
+		t.Fatal("an older incarnation was accepted")
 	}
 	if found, _ := table.Find("i1"); found.Address != "new" {
 		t.Fatalf("found %+v", found)
 	}
 }
 
-func TestSilentInstancesAreGoneAndLaterForgotten(t *testing.T) {
+func TestSilentInstancesAreGoneAndLaterRemoved(t *testing.T) {
 	table, now := settledTable()
 	table.Heard(now, Instance{Name: "i1", Incarnation: 1})
 	seen := table.Revision()
-	table.Expire(now.Add(whole + 1))
+	table.Expire(now.Add(leaseAndMargin + 1))
 	changed := table.Changed(seen)
 	if len(changed) != 1 || changed[0].State != Gone {
 		t.Fatalf("changed: %+v", changed)
 	}
 	table.Expire(now.Add(testTiming.Kept + 1))
 	if table.Incarnation("i1") != 0 {
-		t.Fatal("kept for ever")
+		t.Fatal("the gone instance was not removed")
 	}
 }
 
-func TestIncarnationGrowsWhateverTheClock(t *testing.T) {
+func TestIncarnationGrowsWhenClockIsSetBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		known := rapid.Uint64Range(0, 1<<52).Draw(t, "known")
 		now := time.UnixMicro(rapid.Int64Range(0, 1<<52).Draw(t, "now"))
@@ -131,10 +131,11 @@
 	})
 }
 
-func TestNoInstanceAdmitsByAnOldRevisionOnceInForce(t *testing.T) {
-	// Syncs are lost, answered late or twice, and instances restart. The holder
-	// counts its lease from its sending, the table from its answer. Whenever the
-	// table says in force, no holder may still have a valid lease on less.
+func TestNoInstanceAdmitsUnderAnOldRevisionOnceInForce(t *testing.T) {
+	// Syncs are lost, answered late or answered twice, and instances restart. An instance
+	// counts its lease from when it sent the sync, the table from when it answered. While
+	// the table reports a revision as in force, no instance may have a valid lease with an
+	// older revision.
 	type holder struct {
 		incarnation, revision uint64
 		until                 time.Time
@@ -149,7 +150,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
 				current++
-			case 1: // restarts, and the former process may wake again
+			case 1: // restart; the previous process may resume
 				holders[name] = append(holders[name], holder{incarnation: uint64(len(holders[name]) + 1)})
 			default:
 				if len(holders[name]) == 0 {
@@ -170,7 +171,7 @@
 			for name, all := range holders {
 				for _, h := range all {
 					if h.revision < current && now.Before(h.until) {
-						t.Fatalf("%s admits by %d although %d is in force", name, h.revision, current)
+						t.Fatalf("%s admits calls under revision %d although %d is in force", name, h.revision, current)
 					}
 				}
 			}
@@ -178,10 +179,10 @@
 	})
 }
 
-func TestPassedStatementsDoNotTakeAnInstanceBack(t *testing.T) {
-	// An instance moves to another voter and begins to drain. The former voter still
-	// states what it heard before. If that counted, callers would be sent to the draining
-	// instance again.
+func TestForwardedReportsDoNotRevertDraining(t *testing.T) {
+	// An instance moves to another voter and starts to drain. The previous voter still
+	// forwards an older report. If the table accepted it, callers would be sent to the
+	// draining instance again.
 	now := time.Unix(1_700_000_000, 0)
 	table := NewTable(now, Timing{Lease: 4 * time.Second, Margin: time.Second, Kept: time.Minute})
 	live := Instance{Name: "a", Incarnation: 1}
@@ -189,8 +190,8 @@
 	table.Passed(now, 0, live)
 	now = now.Add(time.Second)
 	table.Passed(now, 0, draining)
-	table.Passed(now, 500*time.Millisecond, live) // older, and last
-	table.Passed(now.Add(time.Second), 0, live)   // a message that was long on its way
+	table.Passed(now, 500*time.Millisecond, live) // older, but arrives last
+	table.Passed(now.Add(time.Second), 0, live)   // delayed in transit
 	if got, _ := table.Find("a"); got.State != Draining {
 		t.Errorf("the instance is %s, want draining", got.State)
 	}
@@ -198,16 +199,16 @@
 	table.Passed(now, 0, gone)
 	table.Passed(now, 500*time.Millisecond, Instance{Name: "b", Incarnation: 1})
 	if _, found := table.Find("b"); found {
-		t.Error("an instance that said goodbye lives again by an older statement")
+		t.Error("an older report made an instance live again that had left")
 	}
 	if table.Passed(now, 0, Instance{Name: "a"}) != Stale {
-		t.Error("a former incarnation is taken")
+		t.Error("an older incarnation was accepted")
 	}
 	if got := table.Outstanding(5); len(got) != 1 {
 		t.Errorf("%d live instances have not confirmed revision 5, want 1", len(got))
 	}
 	table.Expire(now.Add(time.Minute))
 	if _, found := table.Find("a"); found {
-		t.Error("an instance that nobody states lives on")
+		t.Error("an instance is still live although no voter reports it")
 	}
 }
--- a/membership/timing.go
+++ b/membership/timing.go
@@ -4,7 +4,7 @@
 
 // Timing holds the intervals of membership.
 type Timing struct {
-	Lease  time.Duration // an instance may admit for so long after it sent an answered sync
-	Margin time.Duration // the leader waits so much longer than the lease before it counts it as lapsed; covers clock rates that differ
-	Kept   time.Duration // how long instances that are gone stay listed, for reports
+	Lease  time.Duration // how long an instance may admit calls, counted from when it sent a sync that was answered
+	Margin time.Duration // how much longer the leader waits before it treats a lease as lapsed; covers different clock rates
+	Kept   time.Duration // how long gone instances stay listed for reports
 }
