--- a/instance/directory.go
+++ b/instance/directory.go
@@ -2,39 +2,40 @@
 
 import "celeryport/membership"
 
-// enoughNearby is how many instances of the caller's own availability zone are
-// enough to give out no others: with one alone, a caller that can't reach it
-// would have nowhere to go until it asks again.
-const enoughNearby = 2
+// minZoneInstances is how many live instances an availability zone needs for its callers to get
+// addresses of this zone only. With a single address, a caller that cannot reach that
+// instance would have no alternative until it requests the list again.
+const minZoneInstances = 2
 
-// mostAddresses bounds one answer.
-const mostAddresses = 64
+// maxAddresses bounds the number of addresses in one answer.
+const maxAddresses = 64
 
-// addresses lists the traffic addresses for callers of an availability zone: the
-// instances of that zone, whose bytes cross no zone, or all if they are too few.
+// addresses returns the traffic addresses for callers in an availability zone: those of the
+// instances in the same zone, which avoids traffic between zones, or those of all live
+// instances if the zone has too few.
 func (f *forwarding) addresses(availabilityZone string) []string {
 	return addressesFor(f.node.View().Instances, availabilityZone)
 }
 
 func addressesFor(instances []membership.Instance, availabilityZone string) []string {
-	near := takingCalls(instances, func(i *membership.Instance) bool {
+	sameZone := selectAddresses(instances, func(i *membership.Instance) bool {
 		return i.State == membership.Live && i.AvailabilityZone == availabilityZone
 	})
-	if len(near) >= enoughNearby {
-		return near
+	if len(sameZone) >= minZoneInstances {
+		return sameZone
 	}
-	if live := takingCalls(instances, func(i *membership.Instance) bool { return i.State == membership.Live }); len(live) > 0 {
+	if live := selectAddresses(instances, func(i *membership.Instance) bool { return i.State == membership.Live }); len(live) > 0 {
 		return live
 	}
-	// None is known to live, most likely because this instance is cut off from the
-	// others: an old address is better for a caller than none.
-	return takingCalls(instances, func(i *membership.Instance) bool { return i.State != membership.Draining })
+	// No instance is known to be live, most likely because this instance is disconnected
+	// from the others. An outdated address is better for a caller than none.
+	return selectAddresses(instances, func(i *membership.Instance) bool { return i.State != membership.Draining })
 }
 
-func takingCalls(instances []membership.Instance, wanted func(*membership.Instance) bool) []string {
+func selectAddresses(instances []membership.Instance, include func(*membership.Instance) bool) []string {
 	var found []string
 	for i := range instances {
-		if instances[i].Address != "" && wanted(&instances[i]) && len(found) < mostAddresses {
+		if instances[i].Address != "" && include(&instances[i]) && len(found) < maxAddresses {
 			found = append(found, instances[i].Address)
 		}
 	}
--- a/instance/doc.go
+++ b/instance/doc.go
@@ -1,4 +1,4 @@
-// Package instance assembles one entry instance from the library's parts: the
-// control side, the caller side, the ledger and the metrics. The daemon is a
-// thin command line around it.
+// Package instance assembles an instance from the packages of the system: the control node,
+// the server for callers, the ledger and the metrics. The daemon is a thin command line
+// around it.
 package instance
--- a/instance/forwarding.go
+++ b/instance/forwarding.go
@@ -21,36 +21,35 @@
 	"celeryport/settings"
 )
 
-// forwarding is an instance that forwards calls, or that takes part in control
-// only.
+// forwarding is an instance that forwards calls, or that only takes part in control.
 type forwarding struct {
 	options *Options
 	node    *control.Node
-	server  *forward.Server // nil on an instance that takes no calls
+	server  *forward.Server // nil if the instance takes no calls
 	metrics *prometheus.Registry
 }
 
-// RunForwarding runs an instance whose duty is to forward calls or to take part
-// in control, until stop ends, and then shuts it down gracefully. cut bounds the
-// shutdown besides the drain timeout of the settings.
-func RunForwarding(stop, cut context.Context, options Options) error {
+// RunForwarding runs an instance that forwards calls or only takes part in control. When
+// stop is done, the instance shuts down gracefully. The shutdown ends when hardStop is done or
+// the drain timeout of the settings has passed.
+func RunForwarding(stop, hardStop context.Context, options Options) error {
 	f := &forwarding{options: &options, metrics: newProcessRegistry()}
 	if err := f.assemble(); err != nil {
 		return err
 	}
-	running, end := context.WithCancel(context.Background())
-	defer end()
+	running, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	group, ctx := errgroup.WithContext(running)
 	group.Go(func() error { return f.node.Run(ctx) })
 	group.Go(func() error { return f.followSettings(ctx) })
 	if err := f.listen(ctx, group); err != nil {
-		end()
+		cancel()
 		return errors.CombineErrors(err, group.Wait())
 	}
 	eventServing.Log(options.Log, event.Fields{"address": options.Process.Listen, "serves": options.Process.Serves})
 	group.Go(func() error {
-		defer end() // control goes last: draining needs it
-		return f.shutDown(ctx, stop, cut)
+		defer cancel() // control stops last because draining needs it
+		return f.shutDown(ctx, stop, hardStop)
 	})
 	err := group.Wait()
 	eventStopped.Log(options.Log, event.Fields{"error": err})
@@ -101,19 +100,20 @@
 	return nil
 }
 
-// forwardingTiming returns the intervals of instances that forward calls. They go
-// on with the settings they have when they lose touch, so that a lease is only
-// the sign that they live: callers must not be given the address of one that
-// stopped for longer than two seconds. Reads and changes are confirmed by a
-// majority, so that a short election only costs an extra one now and then; after
-// the loss of a leader each second without one is a second of old settings.
+// forwardingTiming returns the intervals of instances that forward calls.
+//
+// These instances keep their settings when they lose contact to the control group, so a
+// lease only shows that the instance is live: callers must not get the address of an
+// instance that stopped more than two seconds ago. A majority confirms reads and changes, so
+// a short election timeout costs no more than an occasional additional election, while each
+// second without a leader is a second of outdated settings.
 func forwardingTiming() control.Timing {
 	timing := control.DefaultTiming()
 	timing.Membership = membership.Timing{Lease: 1500 * time.Millisecond, Margin: 500 * time.Millisecond, Kept: 10 * time.Minute}
 	timing.Consensus = consensus.Timing{Heartbeat: 100 * time.Millisecond, ElectionMin: 600 * time.Millisecond, Lease: 450 * time.Millisecond}
-	timing.Leave = 300 * time.Millisecond // with the drain it has to end before the process is killed
+	timing.Leave = 300 * time.Millisecond // leaving and draining have to end before the process is killed
 	timing.Call = 900 * time.Millisecond
-	timing.Fresh = 5 * time.Second // an announcement passes an instance and two voters on its way to the others
+	timing.Fresh = 5 * time.Second // an announcement passes through an instance and two voters before it reaches the others
 	return timing
 }
 
@@ -137,7 +137,7 @@
 		handlers[p.Readiness] = readiness(f.server)
 	}
 	if p.Directory != "" {
-		handlers[p.Directory] = f.options.Adapter.Directory(f.addresses, directoryKeep)
+		handlers[p.Directory] = f.options.Adapter.Directory(f.addresses, directoryCacheTime)
 	}
 	if p.Metrics != "" {
 		handlers[p.Metrics] = promhttp.HandlerFor(f.metrics, promhttp.HandlerOpts{})
@@ -150,13 +150,13 @@
 	return nil
 }
 
-// serveHTTP serves one of the small addresses until ctx ends.
+// serveHTTP serves an auxiliary address until ctx ends.
 func serveHTTP(ctx context.Context, group *errgroup.Group, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return errors.Wrapf(err, "listen on %s", address)
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: smallTimeout, IdleTimeout: smallIdle}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: auxiliaryReadTimeout, IdleTimeout: auxiliaryIdleTimeout}
 	group.Go(func() error {
 		err := server.Serve(listener)
 		if errors.Is(err, http.ErrServerClosed) {
@@ -172,12 +172,12 @@
 }
 
 const (
-	smallTimeout = 3 * time.Second
-	smallIdle    = 30 * time.Second
-	// directoryKeep is how long callers may keep a list of addresses. They use some
-	// of them for three times as long, which has to end before the shutdown of an
-	// instance does.
-	directoryKeep = 2 * time.Second
+	auxiliaryReadTimeout = 3 * time.Second
+	auxiliaryIdleTimeout = 30 * time.Second
+	// directoryCacheTime is how long callers may cache a list of addresses. Callers use some
+	// addresses for three times as long, which must end before the shutdown of an instance
+	// does.
+	directoryCacheTime = 2 * time.Second
 )
 
 // readiness answers whether the instance takes calls.
@@ -191,7 +191,7 @@
 	})
 }
 
-// followSettings takes in process settings that changed while the instance runs.
+// followSettings applies process settings that change while the instance runs.
 func (f *forwarding) followSettings(ctx context.Context) error {
 	for {
 		select {
@@ -199,7 +199,7 @@
 			return nil
 		case p := <-f.options.Changes:
 			if err := f.node.SetSeeds(ctx, p.Voters); err != nil {
-				return nil //nolint:nilerr // the node has stopped, and says why itself
+				return nil //nolint:nilerr // the node has stopped and reports the reason itself
 			}
 		}
 	}
--- a/instance/options.go
+++ b/instance/options.go
@@ -8,12 +8,12 @@
 	"celeryport/settings"
 )
 
-// Options are what an instance is run from.
+// Options configure an instance.
 type Options struct {
 	Process *settings.Process
 	Log     logrus.FieldLogger
-	Traffic net.Listener             // nil: listen on Process.Listen
-	Control net.Listener             // nil: listen on Process.ControlListen
-	Adapter *Adapter                 // of an instance that does not serve completions
-	Changes <-chan *settings.Process // process settings that changed while it runs; nil: none
+	Traffic net.Listener             // nil to listen on Process.Listen
+	Control net.Listener             // nil to listen on Process.ControlListen
+	Adapter *Adapter                 // for instances that do not serve completions
+	Changes <-chan *settings.Process // process settings that change while the instance runs; nil if they never change
 }
--- a/instance/run.go
+++ b/instance/run.go
@@ -19,36 +19,36 @@
 )
 
 const (
-	demandInterval = 500 * time.Millisecond // between two statements of demand to control
-	leaseInterval  = 20 * time.Millisecond  // between two looks for the first lease
+	demandInterval = 500 * time.Millisecond // interval of demand reports to control
+	leaseInterval  = 20 * time.Millisecond  // polling interval for the first lease
 )
 
-// Run runs an instance until stop ends, then shuts it down gracefully. cut bounds
-// the shutdown besides the drain timeout of the settings: when it ends, what is
-// in flight is cut off.
-func Run(stop, cut context.Context, options Options) (err error) {
-	books, err := openBooks(&options)
+// Run runs an instance. When stop is done, the instance shuts down gracefully. The shutdown
+// ends when hardStop is done or the drain timeout of the settings has passed; calls that are
+// still in progress are then cut off.
+func Run(stop, hardStop context.Context, options Options) (err error) {
+	parts, err := openLedger(&options)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.CombineErrors(err, books.close()) }()
+	defer func() { err = errors.CombineErrors(err, parts.close()) }()
 	node, err := control.New(control.Options{
 		Process:  options.Process,
 		Log:      options.Log,
 		Listener: options.Control,
-		Ledger:   books.store(),
+		Ledger:   parts.store(),
 	})
 	if err != nil {
 		return errors.Wrap(err, "control")
 	}
-	books.answerReports(node)
-	running, end := context.WithCancel(context.Background())
-	defer end()
+	parts.registerReports(node)
+	running, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	group, ctx := errgroup.WithContext(running)
 	group.Go(func() error { return node.Run(ctx) })
 	group.Go(func() error {
-		defer end() // control goes last: draining needs it
-		return runTraffic(ctx, stop, cut, &options, node, books)
+		defer cancel() // control stops last because draining needs it
+		return runTraffic(ctx, stop, hardStop, &options, node, parts)
 	})
 	err = group.Wait()
 	if errors.Is(err, context.Canceled) {
@@ -57,15 +57,15 @@
 	return err
 }
 
-// runTraffic serves callers once the control group has confirmed this instance,
-// since only then its incarnation is settled. Until then its port is closed,
-// which tells callers that nothing was run.
-func runTraffic(ctx, stop, cut context.Context, options *Options, node *control.Node, books *books) error {
+// runTraffic serves callers once the control group has confirmed this instance, because its
+// incarnation is not final before. Until then its port is closed, which shows callers that
+// nothing was run.
+func runTraffic(ctx, stop, hardStop context.Context, options *Options, node *control.Node, parts *ledgerParts) error {
 	if !awaitLease(ctx, stop, node) {
 		return ctx.Err()
 	}
-	books.begin(ctx, node)
-	server, err := newServer(options, node, books)
+	parts.openAccount(ctx, node)
+	server, err := newServer(options, node, parts)
 	if err != nil {
 		return err
 	}
@@ -77,20 +77,20 @@
 	group, ctx := errgroup.WithContext(ctx)
 	copying, stopCopying := context.WithCancel(ctx)
 	group.Go(func() error { return errors.Wrap(server.Serve(listener), "serve callers") })
-	group.Go(func() error { return stateDemands(copying, node, server) })
-	group.Go(func() error { return books.copy(copying) })
+	group.Go(func() error { return reportDemands(copying, node, server) })
+	group.Go(func() error { return parts.runCopier(copying) })
 	group.Go(func() error {
-		books.reports.KeepBook(copying)
+		parts.reports.KeepBook(copying)
 		return nil
 	})
 	group.Go(func() error {
 		defer stopCopying()
-		return shutDown(ctx, stop, cut, options, server)
+		return shutDown(ctx, stop, hardStop, options, server)
 	})
 	return group.Wait()
 }
 
-// awaitLease waits for the first lease and reports whether it came before stop.
+// awaitLease waits for the first lease and reports whether it was granted before stop.
 func awaitLease(ctx, stop context.Context, node *control.Node) bool {
 	ticker := time.NewTicker(leaseInterval)
 	defer ticker.Stop()
@@ -108,17 +108,17 @@
 	}
 }
 
-func newServer(options *Options, node *control.Node, books *books) (*entry.Server, error) {
+func newServer(options *Options, node *control.Node, parts *ledgerParts) (*entry.Server, error) {
 	owner := func() string { return entry.OwnerOf(options.Process.Name, node.View().Incarnation) }
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	server, err := entry.New(entry.Options{
 		Process:    options.Process,
 		Plane:      node,
 		Dispatcher: dispatch.New(dispatch.Config{}, random),
-		Recorder:   books.account,
+		Recorder:   parts.account,
 		Client:     client.New(nil, options.Process.EngineKey, owner, client.DefaultTiming),
-		Metrics:    metrics.Handler(books.metrics(node)),
-		Burn:       books.reports.BurnHandler(options.Process.OperatorKeys),
+		Metrics:    metrics.Handler(parts.metrics(node)),
+		Burn:       parts.reports.BurnHandler(options.Process.OperatorKeys),
 		Log:        options.Log,
 		Clock:      clock.Real{},
 	})
@@ -133,8 +133,9 @@
 	return listener, errors.Wrap(err, "listen for callers")
 }
 
-// stateDemands tells control what this instance saw of each organisation.
-func stateDemands(ctx context.Context, node *control.Node, server *entry.Server) error {
+// reportDemands periodically reports the demand of each organisation at this instance to
+// control.
+func reportDemands(ctx context.Context, node *control.Node, server *entry.Server) error {
 	ticker := time.NewTicker(demandInterval)
 	defer ticker.Stop()
 	for {
@@ -149,14 +150,14 @@
 	}
 }
 
-// shutDown waits for stop and leaves gracefully.
-func shutDown(ctx, stop, cut context.Context, options *Options, server *entry.Server) error {
+// shutDown waits for stop, then shuts the server down gracefully.
+func shutDown(ctx, stop, hardStop context.Context, options *Options, server *entry.Server) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-stop.Done():
 	}
-	bounded, cancel := context.WithTimeout(cut, options.Process.DrainTimeout)
+	bounded, cancel := context.WithTimeout(hardStop, options.Process.DrainTimeout)
 	defer cancel()
 	return server.Shutdown(bounded)
 }
