--- a/control/attachment/choice_test.go
+++ b/control/attachment/choice_test.go
@@ -10,7 +10,7 @@
 	// each restart would move more load to them, until one voter serves all instances.
 	order := []string{"own zone", "b", "c"}
 	var c Choice
-	now := startTime
+	now := testStart
 	c.Failed("own zone")
 	c.Attached(now, "front-1", "b")
 	if got := c.Next(now.Add(time.Second/2), "b", order); got != "" {
@@ -41,7 +41,7 @@
 	var c Choice
 	c.SetDetached(true)
 	var asked []string
-	now := startTime
+	now := testStart
 	for range 4 {
 		now = now.Add(probeInterval)
 		asked = append(asked, c.Next(now, "a", order))
--- a/control/relay/fuzz_test.go
+++ b/control/relay/fuzz_test.go
@@ -12,12 +12,12 @@
 	s := NewSender()
 	for second := range 2 {
 		changes := []upstream.Relayed{{Announcement: announcement(1, second)}, {Announcement: announcement(2, second)}}
-		if err := s.Add(startTime, changes); err != nil {
+		if err := s.Add(testStart, changes); err != nil {
 			f.Fatal(err)
 		}
 	}
 	for _, position := range []uint64{0, 1} {
-		delta, err := s.Since(startTime, position)
+		delta, err := s.Since(testStart, position)
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -25,7 +25,7 @@
 	}
 	f.Fuzz(func(t *testing.T, delta []byte) {
 		r := NewReceiver()
-		full, err := s.Since(startTime, 0)
+		full, err := s.Since(testStart, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/control/relay/relay_test.go
+++ b/control/relay/relay_test.go
@@ -10,7 +10,7 @@
 	"celeryport/upstream"
 )
 
-var startTime = time.Unix(1_800_000_000, 0)
+var testStart = time.Unix(1_800_000_000, 0)
 
 func announcement(number, sequence int) upstream.Announcement {
 	return upstream.Announcement{
@@ -32,11 +32,11 @@
 		for i := range upstreams {
 			changes = append(changes, upstream.Relayed{Announcement: announcement(i, second+i), Age: 300 * time.Millisecond})
 		}
-		if err := s.Add(startTime.Add(time.Duration(second)*time.Second), changes); err != nil {
+		if err := s.Add(testStart.Add(time.Duration(second)*time.Second), changes); err != nil {
 			t.Fatal(err)
 		}
 	}
-	delta, err := s.Since(startTime.Add(2*time.Second), 2)
+	delta, err := s.Since(testStart.Add(2*time.Second), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	s, r := NewSender(), NewReceiver()
 	const upstreams, maxBytes = 3000, 2.2 // bytes for each upstream: one for the reference, one for the age, and a shared header
 	for second := range 3 {
-		now := startTime.Add(time.Duration(second) * time.Second)
+		now := testStart.Add(time.Duration(second) * time.Second)
 		var changes []upstream.Relayed
 		for i := range upstreams {
 			a := announcement(i, 1+second)
@@ -90,7 +90,7 @@
 		registry := upstream.NewRegistry(3 * time.Second)
 		truth := upstream.NewRegistry(3 * time.Second)
 		version := uint64(0)
-		now := startTime
+		now := testStart
 		sequences := map[int]int{}
 		incarnations := map[int]uint64{}
 		type sentDelta struct {
--- a/control/state/machine_test.go
+++ b/control/state/machine_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var startTime = time.Unix(1_800_000_000, 0).UTC()
+var testStart = time.Unix(1_800_000_000, 0).UTC()
 
 const testLifetime = time.Hour
 
@@ -32,8 +32,8 @@
 	// Two operators edit the same revision at the same time. If both orders were accepted,
 	// the second would silently undo the change of the first.
 	m := New()
-	first := submit(t, m, startTime, "a", 0, "one")
-	second := submit(t, m, startTime, "b", 0, "two")
+	first := submit(t, m, testStart, "a", 0, "one")
+	second := submit(t, m, testStart, "b", 0, "two")
 	if first.Kind != Accepted || second.Kind != Conflict {
 		t.Fatalf("outcomes %+v and %+v", first, second)
 	}
@@ -66,9 +66,9 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			m := New()
-			submit(t, m, startTime, "a", 0, "one")
-			submit(t, m, startTime, "b", 1, "two")
-			got := submit(t, m, startTime.Add(test.again), test.id, test.base, test.text)
+			submit(t, m, testStart, "a", 0, "one")
+			submit(t, m, testStart, "b", 1, "two")
+			got := submit(t, m, testStart.Add(test.again), test.id, test.base, test.text)
 			if got.Kind != test.want {
 				t.Fatalf("outcome %+v, want kind %d", got, test.want)
 			}
@@ -94,7 +94,7 @@
 	m := New()
 	var last Fence
 	for i := uint64(1); i < 5; i++ {
-		data, err := (&Command{At: startTime, Issuer: &TakeIssuer{Holder: fmt.Sprint(i % 2), Incarnation: i}}).Encode()
+		data, err := (&Command{At: testStart, Issuer: &TakeIssuer{Holder: fmt.Sprint(i % 2), Incarnation: i}}).Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -141,7 +141,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m, restored := New(), New()
 		seen := model{ran: map[string]uint64{}, byBase: map[uint64]string{}}
-		now := startTime
+		now := testStart
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.Int64Range(-int64(testLifetime), int64(testLifetime)).Draw(t, "jump")))
 			id := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}).Draw(t, "id")
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -8,7 +8,7 @@
 )
 
 var (
-	startTime  = time.Unix(1_800_000_000, 0)
+	testStart  = time.Unix(1_800_000_000, 0)
 	testTiming = Timing{Lease: 3 * time.Second, Margin: time.Second, Kept: time.Hour}
 )
 
@@ -19,7 +19,7 @@
 
 // settledTable returns a table and a time at which the table is settled.
 func settledTable() (*Table, time.Time) {
-	return NewTable(startTime, testTiming), startTime.Add(leaseAndMargin + 1)
+	return NewTable(testStart, testTiming), testStart.Add(leaseAndMargin + 1)
 }
 
 func TestInForceWaitsForEveryLease(t *testing.T) {
@@ -85,11 +85,11 @@
 func TestNewLeaderWaitsOneLease(t *testing.T) {
 	// A new leader has received no reports yet, so no instance is outstanding. An instance
 	// with a lease from the previous leader may still admit calls under old settings.
-	table := NewTable(startTime, testTiming)
-	if table.InForce(startTime.Add(lease), 1) {
+	table := NewTable(testStart, testTiming)
+	if table.InForce(testStart.Add(lease), 1) {
 		t.Fatal("in force before the leases of the previous leader can have lapsed")
 	}
-	if !table.InForce(startTime.Add(leaseAndMargin+1), 1) {
+	if !table.InForce(testStart.Add(leaseAndMargin+1), 1) {
 		t.Fatal("not in force after every lease has lapsed")
 	}
 }
