--- a/control/issuer.go
+++ b/control/issuer.go
@@ -39,7 +39,7 @@
 	l.issuerAsked = true
 	command := state.Command{
 		At:     now.Round(0).UTC(),
-		Issuer: &state.TakeIssuer{Holder: l.core.self.Name, Incarnation: l.core.self.Incarnation},
+		Issuer: &state.AssignIssuer{Holder: l.core.self.Name, Incarnation: l.core.self.Incarnation},
 	}
 	// The result shows in the state; a proposal that is lost with the leadership
 	// needs no second one.
--- a/control/state/command.go
+++ b/control/state/command.go
@@ -19,7 +19,7 @@
 	At       time.Time     `json:"at"`                 // wall-clock time of the proposing leader
 	Lifetime time.Duration `json:"lifetime,omitempty"` // retention of order ids, from the settings in force
 	Apply    *Apply        `json:"apply,omitempty"`
-	Issuer   *TakeIssuer   `json:"issuer,omitempty"`
+	Issuer   *AssignIssuer `json:"issuer,omitempty"`
 	Document *PutDocument  `json:"document,omitempty"`
 
 	Evidence []quarantine.Evidence `json:"evidence,omitempty"` // against requests that crash upstreams
@@ -39,8 +39,8 @@
 	Text    []byte `json:"text"`
 }
 
-// TakeIssuer makes a leader the only issuer of engine orders.
-type TakeIssuer struct {
+// AssignIssuer makes a leader the only issuer of engine orders.
+type AssignIssuer struct {
 	Holder      string `json:"holder"`
 	Incarnation uint64 `json:"incarnation"`
 }
--- a/control/state/machine.go
+++ b/control/state/machine.go
@@ -129,7 +129,7 @@
 	}
 }
 
-func (m *Machine) assignIssuer(index, term uint64, a *TakeIssuer) {
+func (m *Machine) assignIssuer(index, term uint64, a *AssignIssuer) {
 	m.content.Issuer = Issuer{
 		Holder:      a.Holder,
 		Incarnation: a.Incarnation,
--- a/control/state/machine_test.go
+++ b/control/state/machine_test.go
@@ -94,7 +94,7 @@
 	m := New()
 	var last Fence
 	for i := uint64(1); i < 5; i++ {
-		data, err := (&Command{At: testStart, Issuer: &TakeIssuer{Holder: fmt.Sprint(i % 2), Incarnation: i}}).Encode()
+		data, err := (&Command{At: testStart, Issuer: &AssignIssuer{Holder: fmt.Sprint(i % 2), Incarnation: i}}).Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
