--- a/control/relay/fuzz_test.go
+++ b/control/relay/fuzz_test.go
@@ -29,10 +29,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := r.Take(full, 0); err != nil {
+		if _, err := r.Apply(full, 0); err != nil {
 			t.Fatal(err)
 		}
-		relayed, err := r.Take(delta, 0)
+		relayed, err := r.Apply(delta, 0)
 		if err != nil && relayed != nil {
 			t.Fatal("a rejected delta returned upstreams")
 		}
--- a/control/relay/receiver.go
+++ b/control/relay/receiver.go
@@ -28,10 +28,10 @@
 // Position returns the number of the last batch that was applied.
 func (r *Receiver) Position() uint64 { return r.position }
 
-// Take applies a delta and returns its announcements. transit is the maximum time that the
+// Apply applies a delta and returns its announcements. transit is the maximum time that the
 // delta was under way. It is added to the ages, so that no announcement looks fresher than
 // it is. Batches that were already applied are skipped.
-func (r *Receiver) Take(delta []byte, transit time.Duration) ([]upstream.Relayed, error) {
+func (r *Receiver) Apply(delta []byte, transit time.Duration) ([]upstream.Relayed, error) {
 	if len(delta) == 0 {
 		return nil, nil
 	}
--- a/control/relay/relay_test.go
+++ b/control/relay/relay_test.go
@@ -66,7 +66,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		received, err := r.Take(delta, 0)
+		received, err := r.Apply(delta, 0)
 		if err != nil || len(received) != upstreams {
 			t.Fatalf("got %d upstreams: %v", len(received), err)
 		}
@@ -122,7 +122,7 @@
 			inTransit = append(inTransit, sentDelta{delta, now})
 			for range rapid.IntRange(0, 2).Draw(t, "arrivals") {
 				at := rapid.IntRange(0, len(inTransit)-1).Draw(t, "which")
-				relayed, err := r.Take(inTransit[at].delta, now.Sub(inTransit[at].at))
+				relayed, err := r.Apply(inTransit[at].delta, now.Sub(inTransit[at].at))
 				if err != nil {
 					r = NewReceiver()
 					continue
@@ -137,7 +137,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		relayed, err := NewReceiver().Take(delta, 0)
+		relayed, err := NewReceiver().Apply(delta, 0)
 		if err != nil || len(relayed) != len(truth.Snapshot(now).Upstreams) {
 			t.Fatalf("a full delta returned %d upstreams (%v)", len(relayed), err)
 		}
--- a/control/relaying.go
+++ b/control/relaying.go
@@ -50,7 +50,7 @@
 	if box.receiver == nil || box.incarnation != i.Incarnation {
 		box = inbox{incarnation: i.Incarnation, receiver: relay.NewReceiver()}
 	}
-	relayed, err := box.receiver.Take(p.request.heard, now.Sub(p.arrivedAt))
+	relayed, err := box.receiver.Apply(p.request.heard, now.Sub(p.arrivedAt))
 	if err != nil {
 		box.receiver = relay.NewReceiver()
 	}
@@ -76,7 +76,7 @@
 // held it.
 func (c *core) takeUpstreams(now, sentAt time.Time, r *syncResponse) {
 	way := max(0, now.Sub(sentAt)-time.Duration(r.HeldMs)*time.Millisecond)
-	relayed, err := c.received.Take(r.upstreams, way)
+	relayed, err := c.received.Apply(r.upstreams, way)
 	if err != nil {
 		c.received = relay.NewReceiver() // everything is sent again
 		return
--- a/control/voter_bench_test.go
+++ b/control/voter_bench_test.go
@@ -88,7 +88,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			relayed, err := position.Take(delta, 0)
+			relayed, err := position.Apply(delta, 0)
 			if err != nil {
 				b.Fatal(err)
 			}
