--- a/control/attached.go
+++ b/control/attached.go
@@ -41,7 +41,7 @@
 			unknown = append(unknown, attached[n].Brief.Name)
 			continue
 		}
-		if l.table.Passed(now, time.Duration(attached[n].AgeMs)*time.Millisecond, i) == membership.Stale {
+		if l.table.RecordForwarded(now, time.Duration(attached[n].AgeMs)*time.Millisecond, i) == membership.Stale {
 			if superseded == nil {
 				superseded = map[string]uint64{}
 			}
--- a/membership/table.go
+++ b/membership/table.go
@@ -41,13 +41,13 @@
 	Stale
 )
 
-// Passed records an instance's report that a voter received age ago and forwarded. Reports
+// RecordForwarded records an instance's report that a voter received age ago and forwarded. Reports
 // of one instance may arrive over two paths and out of order. A report that is older than
 // the last known one is ignored, and a draining instance stays draining.
 //
 // The instance has no lease from this leader, but the report counts as one: no revision is
 // considered in force while the instance is live and has confirmed only an older revision.
-func (t *Table) Passed(now time.Time, age time.Duration, i Instance) Verdict {
+func (t *Table) RecordForwarded(now time.Time, age time.Duration, i Instance) Verdict {
 	heardAt := now.Add(-age)
 	if known, found := t.members[i.Name]; found && known.instance.Incarnation == i.Incarnation {
 		if heardAt.Before(known.heardAt) {
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -187,21 +187,21 @@
 	table := NewTable(now, Timing{Lease: 4 * time.Second, Margin: time.Second, Kept: time.Minute})
 	live := Instance{Name: "a", Incarnation: 1}
 	draining := Instance{Name: "a", Incarnation: 1, State: Draining}
-	table.Passed(now, 0, live)
+	table.RecordForwarded(now, 0, live)
 	now = now.Add(time.Second)
-	table.Passed(now, 0, draining)
-	table.Passed(now, 500*time.Millisecond, live) // older, but arrives last
-	table.Passed(now.Add(time.Second), 0, live)   // delayed in transit
+	table.RecordForwarded(now, 0, draining)
+	table.RecordForwarded(now, 500*time.Millisecond, live) // older, but arrives last
+	table.RecordForwarded(now.Add(time.Second), 0, live)   // delayed in transit
 	if got, _ := table.Find("a"); got.State != Draining {
 		t.Errorf("the instance is %s, want draining", got.State)
 	}
 	gone := Instance{Name: "b", Incarnation: 1, State: Gone}
-	table.Passed(now, 0, gone)
-	table.Passed(now, 500*time.Millisecond, Instance{Name: "b", Incarnation: 1})
+	table.RecordForwarded(now, 0, gone)
+	table.RecordForwarded(now, 500*time.Millisecond, Instance{Name: "b", Incarnation: 1})
 	if _, found := table.Find("b"); found {
 		t.Error("an older report made an instance live again that had left")
 	}
-	if table.Passed(now, 0, Instance{Name: "a"}) != Stale {
+	if table.RecordForwarded(now, 0, Instance{Name: "a"}) != Stale {
 		t.Error("an older incarnation was accepted")
 	}
 	if got := table.Outstanding(5); len(got) != 1 {
