--- a/control/attached_test.go
+++ b/control/attached_test.go
@@ -161,7 +161,7 @@
 	leader := f.leader()
 	far := uint64(time.Now().Add(time.Hour).UnixNano())
 	err = leader.node.do(t.Context(), func(now time.Time) {
-		leader.node.core.leader.table.Heard(now, membership.Instance{Name: "i3", Incarnation: far})
+		leader.node.core.leader.table.Record(now, membership.Instance{Name: "i3", Incarnation: far})
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/control/evidence_test.go
+++ b/control/evidence_test.go
@@ -83,12 +83,12 @@
 	voter := func(name string, version int) membership.Instance {
 		return membership.Instance{Name: name, Incarnation: 1, Voter: true, LogVersion: version}
 	}
-	l.table.Heard(began, voter("upgraded", state.LogVersion))
-	l.table.Heard(began, membership.Instance{Name: "forwards only", Incarnation: 1})
+	l.table.Record(began, voter("upgraded", state.LogVersion))
+	l.table.Record(began, membership.Instance{Name: "forwards only", Incarnation: 1})
 	if !l.votersRead(state.LogVersion) {
 		t.Error("all voters are upgraded")
 	}
-	l.table.Heard(began, voter("old", 0))
+	l.table.Record(began, voter("old", 0))
 	if l.votersRead(state.LogVersion) {
 		t.Error("an old voter would stop")
 	}
--- a/control/leader.go
+++ b/control/leader.go
@@ -91,7 +91,7 @@
 		reply <- &syncResponse{Restate: true}
 		return
 	}
-	if l.table.Heard(now, request.Instance) == membership.Stale {
+	if l.table.Record(now, request.Instance) == membership.Stale {
 		reply <- &syncResponse{Superseded: l.table.Incarnation(request.Instance.Name)}
 		return
 	}
--- a/membership/table.go
+++ b/membership/table.go
@@ -57,7 +57,7 @@
 			i.State = Draining
 		}
 	}
-	if t.Heard(heardAt, i) == Stale {
+	if t.Record(heardAt, i) == Stale {
 		return Stale
 	}
 	if i.State != Gone {
@@ -66,8 +66,8 @@
 	return Taken
 }
 
-// Heard records an instance's report about itself.
-func (t *Table) Heard(now time.Time, i Instance) Verdict {
+// Record records an instance's report about itself.
+func (t *Table) Record(now time.Time, i Instance) Verdict {
 	known, found := t.members[i.Name]
 	if !found {
 		known = &member{}
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -34,40 +34,40 @@
 		want    bool
 	}{
 		"holds a lease on an older revision": {func(t *Table, now time.Time) {
-			t.Heard(now, at(1, 1, Live))
+			t.Record(now, at(1, 1, Live))
 			t.Granted(now, "i1")
 		}, lease, false},
 		"its lease has certainly lapsed": {func(t *Table, now time.Time) {
-			t.Heard(now, at(1, 1, Live))
+			t.Record(now, at(1, 1, Live))
 			t.Granted(now, "i1")
 		}, leaseAndMargin + 1, true},
 		"confirmed": {func(t *Table, now time.Time) {
-			t.Heard(now, at(1, 1, Live))
+			t.Record(now, at(1, 1, Live))
 			t.Granted(now, "i1")
-			t.Heard(now, at(1, 2, Live))
+			t.Record(now, at(1, 2, Live))
 		}, 0, true},
 		"left": {func(t *Table, now time.Time) {
-			t.Heard(now, at(1, 1, Live))
+			t.Record(now, at(1, 1, Live))
 			t.Granted(now, "i1")
-			t.Heard(now, at(1, 1, Gone))
+			t.Record(now, at(1, 1, Gone))
 		}, 0, true},
 		"draining still admits": {func(t *Table, now time.Time) {
-			t.Heard(now, at(1, 1, Draining))
+			t.Record(now, at(1, 1, Draining))
 			t.Granted(now, "i1")
 		}, 0, false},
 		"never had a lease": {func(t *Table, now time.Time) {
-			t.Heard(now, at(1, 1, Live))
+			t.Record(now, at(1, 1, Live))
 		}, 0, true},
 		"restarted while its previous process may be suspended": {func(t *Table, now time.Time) {
-			t.Heard(now, at(1, 1, Live))
+			t.Record(now, at(1, 1, Live))
 			t.Granted(now, "i1")
-			t.Heard(now, at(2, 2, Live))
+			t.Record(now, at(2, 2, Live))
 			t.Granted(now, "i1")
 		}, lease, false},
 		"the lease of the previous process has lapsed too": {func(t *Table, now time.Time) {
-			t.Heard(now, at(1, 1, Live))
+			t.Record(now, at(1, 1, Live))
 			t.Granted(now, "i1")
-			t.Heard(now, at(2, 2, Live))
+			t.Record(now, at(2, 2, Live))
 			t.Granted(now, "i1")
 		}, leaseAndMargin + 1, true},
 	}
@@ -97,8 +97,8 @@
 func TestOlderIncarnationIsStale(t *testing.T) {
 	// A late message of a dead process must not replace the report of its successor.
 	table, now := settledTable()
-	table.Heard(now, Instance{Name: "i1", Incarnation: 2, Address: "new"})
-	if table.Heard(now, Instance{Name: "i1", Incarnation: 1, Address: "old"}) != Stale {
+	table.Record(now, Instance{Name: "i1", Incarnation: 2, Address: "new"})
+	if table.Record(now, Instance{Name: "i1", Incarnation: 1, Address: "old"}) != Stale {
 		t.Fatal("an older incarnation was accepted")
 	}
 	if found, _ := table.Find("i1"); found.Address != "new" {
@@ -108,7 +108,7 @@
 
 func TestSilentInstancesAreGoneAndLaterRemoved(t *testing.T) {
 	table, now := settledTable()
-	table.Heard(now, Instance{Name: "i1", Incarnation: 1})
+	table.Record(now, Instance{Name: "i1", Incarnation: 1})
 	seen := table.Revision()
 	table.Expire(now.Add(leaseAndMargin + 1))
 	changed := table.Changed(seen)
@@ -159,7 +159,7 @@
 				h := &holders[name][len(holders[name])-1]
 				sentAt := now
 				now = now.Add(time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "held")))
-				table.Heard(now, Instance{Name: name, Incarnation: h.incarnation, Revision: h.revision})
+				table.Record(now, Instance{Name: name, Incarnation: h.incarnation, Revision: h.revision})
 				table.Granted(now, name)
 				if rapid.Bool().Draw(t, "answered") {
 					h.revision, h.until = current, sentAt.Add(lease)
