--- a/control/leader.go
+++ b/control/leader.go
@@ -182,7 +182,7 @@
 	l.confirmed.note(now, response.Revision)
 	if group.leaseValid(now) && r.Instance.State != membership.Gone && l.confirmed.lately(now, r.Instance.Revision) {
 		response.LeaseMs = l.core.timing.Membership.Lease.Milliseconds()
-		l.table.Granted(now, r.Instance.Name)
+		l.table.RecordLease(now, r.Instance.Name)
 	}
 	response.Grants, response.GrantsAt = l.grants(now, r.Instance.Name)
 	return response
--- a/membership/table.go
+++ b/membership/table.go
@@ -61,7 +61,7 @@
 		return Stale
 	}
 	if i.State != Gone {
-		t.Granted(heardAt, i.Name)
+		t.RecordLease(heardAt, i.Name)
 	}
 	return Taken
 }
@@ -108,8 +108,8 @@
 	return old != i
 }
 
-// Granted records that a lease was granted to the instance at now.
-func (t *Table) Granted(now time.Time, name string) {
+// RecordLease records that a lease was granted to the instance at now.
+func (t *Table) RecordLease(now time.Time, name string) {
 	if m, found := t.members[name]; found {
 		m.grantedAt = now
 		m.holdsLease = true
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -35,40 +35,40 @@
 	}{
 		"holds a lease on an older revision": {func(t *Table, now time.Time) {
 			t.Record(now, at(1, 1, Live))
-			t.Granted(now, "i1")
+			t.RecordLease(now, "i1")
 		}, lease, false},
 		"its lease has certainly lapsed": {func(t *Table, now time.Time) {
 			t.Record(now, at(1, 1, Live))
-			t.Granted(now, "i1")
+			t.RecordLease(now, "i1")
 		}, leaseAndMargin + 1, true},
 		"confirmed": {func(t *Table, now time.Time) {
 			t.Record(now, at(1, 1, Live))
-			t.Granted(now, "i1")
+			t.RecordLease(now, "i1")
 			t.Record(now, at(1, 2, Live))
 		}, 0, true},
 		"left": {func(t *Table, now time.Time) {
 			t.Record(now, at(1, 1, Live))
-			t.Granted(now, "i1")
+			t.RecordLease(now, "i1")
 			t.Record(now, at(1, 1, Gone))
 		}, 0, true},
 		"draining still admits": {func(t *Table, now time.Time) {
 			t.Record(now, at(1, 1, Draining))
-			t.Granted(now, "i1")
+			t.RecordLease(now, "i1")
 		}, 0, false},
 		"never had a lease": {func(t *Table, now time.Time) {
 			t.Record(now, at(1, 1, Live))
 		}, 0, true},
 		"restarted while its previous process may be suspended": {func(t *Table, now time.Time) {
 			t.Record(now, at(1, 1, Live))
-			t.Granted(now, "i1")
+			t.RecordLease(now, "i1")
 			t.Record(now, at(2, 2, Live))
-			t.Granted(now, "i1")
+			t.RecordLease(now, "i1")
 		}, lease, false},
 		"the lease of the previous process has lapsed too": {func(t *Table, now time.Time) {
 			t.Record(now, at(1, 1, Live))
-			t.Granted(now, "i1")
+			t.RecordLease(now, "i1")
 			t.Record(now, at(2, 2, Live))
-			t.Granted(now, "i1")
+			t.RecordLease(now, "i1")
 		}, leaseAndMargin + 1, true},
 	}
 	for name, test := range tests {
@@ -160,7 +160,7 @@
 				sentAt := now
 				now = now.Add(time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "held")))
 				table.Record(now, Instance{Name: name, Incarnation: h.incarnation, Revision: h.revision})
-				table.Granted(now, name)
+				table.RecordLease(now, name)
 				if rapid.Bool().Draw(t, "answered") {
 					h.revision, h.until = current, sentAt.Add(lease)
 				}
