--- a/control/attachment/roster.go
+++ b/control/attachment/roster.go
@@ -46,11 +46,11 @@
 	}
 	if known == nil || i.Incarnation > known.instance.Incarnation {
 		r.entries[i.Name] = &entry{instance: i, heardAt: now, needsFull: true}
-		return membership.Taken, true
+		return membership.Accepted, true
 	}
 	urgent = known.instance.State != i.State
 	known.instance, known.heardAt = i, now
-	return membership.Taken, urgent
+	return membership.Accepted, urgent
 }
 
 // Known returns the attached instance with the given name.
--- a/control/attachment/roster_test.go
+++ b/control/attachment/roster_test.go
@@ -59,7 +59,7 @@
 	if got := r.Incarnation("a"); got != 7 {
 		t.Errorf("the known incarnation is %d, want 7", got)
 	}
-	if verdict, urgent := r.Heard(testStart, membership.Instance{Name: "a", Incarnation: 8}); verdict != membership.Taken || !urgent {
+	if verdict, urgent := r.Heard(testStart, membership.Instance{Name: "a", Incarnation: 8}); verdict != membership.Accepted || !urgent {
 		t.Error("a higher incarnation is not accepted as urgent")
 	}
 }
--- a/membership/table.go
+++ b/membership/table.go
@@ -35,8 +35,8 @@
 type Verdict uint8
 
 const (
-	// Taken reports are the newest of their instance.
-	Taken Verdict = iota
+	// Accepted reports are the newest of their instance.
+	Accepted Verdict = iota
 	// Stale reports come from an older incarnation than the known one.
 	Stale
 )
@@ -51,7 +51,7 @@
 	heardAt := now.Add(-age)
 	if known, found := t.members[i.Name]; found && known.instance.Incarnation == i.Incarnation {
 		if heardAt.Before(known.heardAt) {
-			return Taken
+			return Accepted
 		}
 		if known.instance.State == Draining && i.State == Live {
 			i.State = Draining
@@ -63,7 +63,7 @@
 	if i.State != Gone {
 		t.RecordLease(heardAt, i.Name)
 	}
-	return Taken
+	return Accepted
 }
 
 // Record records an instance's report about itself.
@@ -88,7 +88,7 @@
 	if visible {
 		t.markChanged(known)
 	}
-	return Taken
+	return Accepted
 }
 
 // retire keeps track of the lease of a previous incarnation. Its process is most likely
