--- a/control/options.go
+++ b/control/options.go
@@ -61,9 +61,9 @@
 			Lease:       time.Second,
 		},
 		Membership: membership.Timing{
-			Lease:  4 * time.Second,
-			Margin: 500 * time.Millisecond,
-			Kept:   24 * time.Hour,
+			Lease:     4 * time.Second,
+			Margin:    500 * time.Millisecond,
+			Retention: 24 * time.Hour,
 		},
 		Sync:    500 * time.Millisecond,
 		Call:    2 * time.Second,
--- a/control/publish.go
+++ b/control/publish.go
@@ -35,7 +35,7 @@
 func (c *core) publish(now time.Time) {
 	c.views = viewState{at: now}
 	c.known.Expire(now)
-	c.members.forget(now, c.timing.Membership.Kept)
+	c.members.forget(now, c.timing.Membership.Retention)
 	view := &View{
 		Incarnation: c.self.Incarnation,
 		Tree:        c.installed.tree,
--- a/instance/forwarding.go
+++ b/instance/forwarding.go
@@ -109,7 +109,7 @@
 // second without a leader is a second of outdated settings.
 func forwardingTiming() control.Timing {
 	timing := control.DefaultTiming()
-	timing.Membership = membership.Timing{Lease: 1500 * time.Millisecond, Margin: 500 * time.Millisecond, Kept: 10 * time.Minute}
+	timing.Membership = membership.Timing{Lease: 1500 * time.Millisecond, Margin: 500 * time.Millisecond, Retention: 10 * time.Minute}
 	timing.Consensus = consensus.Timing{Heartbeat: 100 * time.Millisecond, ElectionMin: 600 * time.Millisecond, Lease: 450 * time.Millisecond}
 	timing.Leave = 300 * time.Millisecond // leaving and draining have to end before the process is killed
 	timing.Call = 900 * time.Millisecond
--- a/membership/table.go
+++ b/membership/table.go
@@ -128,7 +128,7 @@
 			m.instance.State = Gone
 			t.markChanged(m)
 		}
-		if m.instance.State == Gone && now.Sub(m.heardAt) > t.timing.Kept {
+		if m.instance.State == Gone && now.Sub(m.heardAt) > t.timing.Retention {
 			delete(t.members, name)
 		}
 	}
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -9,7 +9,7 @@
 
 var (
 	testStart  = time.Unix(1_800_000_000, 0)
-	testTiming = Timing{Lease: 3 * time.Second, Margin: time.Second, Kept: time.Hour}
+	testTiming = Timing{Lease: 3 * time.Second, Margin: time.Second, Retention: time.Hour}
 )
 
 const (
@@ -115,7 +115,7 @@
 	if len(changed) != 1 || changed[0].State != Gone {
 		t.Fatalf("changed: %+v", changed)
 	}
-	table.Expire(now.Add(testTiming.Kept + 1))
+	table.Expire(now.Add(testTiming.Retention + 1))
 	if table.Incarnation("i1") != 0 {
 		t.Fatal("the gone instance was not removed")
 	}
@@ -184,7 +184,7 @@
 	// forwards an older report. If the table accepted it, callers would be sent to the
 	// draining instance again.
 	now := time.Unix(1_700_000_000, 0)
-	table := NewTable(now, Timing{Lease: 4 * time.Second, Margin: time.Second, Kept: time.Minute})
+	table := NewTable(now, Timing{Lease: 4 * time.Second, Margin: time.Second, Retention: time.Minute})
 	live := Instance{Name: "a", Incarnation: 1}
 	draining := Instance{Name: "a", Incarnation: 1, State: Draining}
 	table.RecordForwarded(now, 0, live)
