--- a/control/attachment/roster.go
+++ b/control/attachment/roster.go
@@ -37,9 +37,9 @@
 	return &Roster{retention: retention, entries: map[string]*entry{}}
 }
 
-// Heard records an instance's report about itself. The result urgent is true if the leader
+// Record records an instance's report about itself. The result urgent is true if the leader
 // has to be informed at once, because the instance started or changed its state.
-func (r *Roster) Heard(now time.Time, i membership.Instance) (verdict membership.Verdict, urgent bool) {
+func (r *Roster) Record(now time.Time, i membership.Instance) (verdict membership.Verdict, urgent bool) {
 	known := r.entries[i.Name]
 	if known != nil && i.Incarnation < max(known.instance.Incarnation, known.minIncarnation) {
 		return membership.Stale, false
--- a/control/attachment/roster_test.go
+++ b/control/attachment/roster_test.go
@@ -16,7 +16,7 @@
 	// and needs a full report of each; without one it would never publish their addresses.
 	r := NewRoster(2 * time.Second)
 	i := membership.Instance{Name: "a", Incarnation: 1, Address: "10.0.0.1:1"}
-	if _, urgent := r.Heard(testStart, i); !urgent {
+	if _, urgent := r.Record(testStart, i); !urgent {
 		t.Error("the start of an instance is not reported as urgent")
 	}
 	full := func() bool { return r.Statements(testStart)[0].Whole }
@@ -37,7 +37,7 @@
 	// An instance moved to another voter or died. If this voter kept reporting it, the
 	// leader would publish its address for ever.
 	r := NewRoster(2 * time.Second)
-	r.Heard(testStart, membership.Instance{Name: "a", Incarnation: 1})
+	r.Record(testStart, membership.Instance{Name: "a", Incarnation: 1})
 	if got := r.Statements(testStart.Add(2 * time.Second))[0].Age; got != 2*time.Second {
 		t.Errorf("the report is %s old, want 2s", got)
 	}
@@ -48,27 +48,27 @@
 
 func TestSupersededInstanceIsRejected(t *testing.T) {
 	r := NewRoster(2 * time.Second)
-	r.Heard(testStart, membership.Instance{Name: "a", Incarnation: 3})
+	r.Record(testStart, membership.Instance{Name: "a", Incarnation: 3})
 	r.Superseded("a", 7)
 	if got := r.Statements(testStart); len(got) != 0 {
 		t.Errorf("a superseded incarnation is reported: %v", got)
 	}
-	if verdict, _ := r.Heard(testStart, membership.Instance{Name: "a", Incarnation: 3}); verdict != membership.Stale {
+	if verdict, _ := r.Record(testStart, membership.Instance{Name: "a", Incarnation: 3}); verdict != membership.Stale {
 		t.Error("a superseded incarnation is accepted")
 	}
 	if got := r.Incarnation("a"); got != 7 {
 		t.Errorf("the known incarnation is %d, want 7", got)
 	}
-	if verdict, urgent := r.Heard(testStart, membership.Instance{Name: "a", Incarnation: 8}); verdict != membership.Accepted || !urgent {
+	if verdict, urgent := r.Record(testStart, membership.Instance{Name: "a", Incarnation: 8}); verdict != membership.Accepted || !urgent {
 		t.Error("a higher incarnation is not accepted as urgent")
 	}
 }
 
 func TestDepartureIsReportedUntilLeaderAcknowledges(t *testing.T) {
 	r := NewRoster(2 * time.Second)
-	r.Heard(testStart, membership.Instance{Name: "a", Incarnation: 1})
+	r.Record(testStart, membership.Instance{Name: "a", Incarnation: 1})
 	r.Taken("a", 1, membership.Live)
-	if _, urgent := r.Heard(testStart, membership.Instance{Name: "a", Incarnation: 1, State: membership.Gone}); !urgent {
+	if _, urgent := r.Record(testStart, membership.Instance{Name: "a", Incarnation: 1, State: membership.Gone}); !urgent {
 		t.Error("the departure of an instance is not urgent")
 	}
 	if len(r.Statements(testStart)) != 1 {
--- a/control/fanout.go
+++ b/control/fanout.go
@@ -63,7 +63,7 @@
 		reply <- &syncResponse{Restate: true}
 		return
 	}
-	verdict, news := f.roster.Heard(now, request.Instance)
+	verdict, news := f.roster.Record(now, request.Instance)
 	if verdict == membership.Stale {
 		reply <- &syncResponse{Superseded: f.roster.Incarnation(request.Instance.Name)}
 		return
