--- a/control/attached.go
+++ b/control/attached.go
@@ -80,7 +80,7 @@
 			brief = briefOf(sent[n].Whole)
 		}
 		if _, stale := r.SupersededAttached[brief.Name]; !stale && !unknown[brief.Name] {
-			f.roster.Taken(brief.Name, brief.Incarnation, brief.State)
+			f.roster.Acknowledge(brief.Name, brief.Incarnation, brief.State)
 		}
 	}
 }
--- a/control/attachment/roster.go
+++ b/control/attachment/roster.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Taken records that a leader has acknowledged a report.
-func (r *Roster) Taken(name string, incarnation uint64, state membership.State) {
+// Acknowledge records that a leader has acknowledged a report.
+func (r *Roster) Acknowledge(name string, incarnation uint64, state membership.State) {
 	e, found := r.entries[name]
 	if !found || e.instance.Incarnation != incarnation {
 		return
--- a/control/attachment/roster_test.go
+++ b/control/attachment/roster_test.go
@@ -23,7 +23,7 @@
 	if !full() {
 		t.Error("the first report is brief")
 	}
-	r.Taken("a", 1, membership.Live)
+	r.Acknowledge("a", 1, membership.Live)
 	if full() || !r.IsTaken("a") {
 		t.Error("the leader acknowledged the report, but the next one is full or the instance is not acknowledged")
 	}
@@ -67,14 +67,14 @@
 func TestDepartureIsReportedUntilLeaderAcknowledges(t *testing.T) {
 	r := NewRoster(2 * time.Second)
 	r.Record(testStart, membership.Instance{Name: "a", Incarnation: 1})
-	r.Taken("a", 1, membership.Live)
+	r.Acknowledge("a", 1, membership.Live)
 	if _, urgent := r.Record(testStart, membership.Instance{Name: "a", Incarnation: 1, State: membership.Gone}); !urgent {
 		t.Error("the departure of an instance is not urgent")
 	}
 	if len(r.Statements(testStart)) != 1 {
 		t.Error("a departure is not reported")
 	}
-	r.Taken("a", 1, membership.Gone)
+	r.Acknowledge("a", 1, membership.Gone)
 	if r.Size() != 0 {
 		t.Error("an instance that left stays attached")
 	}
