--- a/control/attachment/roster.go
+++ b/control/attachment/roster.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// IsTaken reports whether a leader has acknowledged the current incarnation.
-func (r *Roster) IsTaken(name string) bool {
+// Acknowledged reports whether a leader has acknowledged the current incarnation.
+func (r *Roster) Acknowledged(name string) bool {
 	e, found := r.entries[name]
 	return found && e.acknowledged
 }
--- a/control/attachment/roster_test.go
+++ b/control/attachment/roster_test.go
@@ -24,7 +24,7 @@
 		t.Error("the first report is brief")
 	}
 	r.Acknowledge("a", 1, membership.Live)
-	if full() || !r.IsTaken("a") {
+	if full() || !r.Acknowledged("a") {
 		t.Error("the leader acknowledged the report, but the next one is full or the instance is not acknowledged")
 	}
 	r.Unknown("a")
--- a/control/fanout.go
+++ b/control/fanout.go
@@ -168,7 +168,7 @@
 		HeardUpTo: p.heardUpTo,
 		HeldMs:    now.Sub(p.arrivedAt).Milliseconds(),
 		Detached:  !f.inTouch(now),
-		Taken:     f.roster.IsTaken(r.Instance.Name),
+		Taken:     f.roster.Acknowledged(r.Instance.Name),
 		leaves:    p.leaves,
 
 		Quarantine: f.core.group.quarantineAfter(r),
