--- a/control/attached.go
+++ b/control/attached.go
@@ -65,7 +65,7 @@
 // takeAttached notes what the leader made of the statements in a sync of this voter.
 func (f *fanout) takeAttached(sent []attachedInstance, r *syncResponse) {
 	for _, name := range r.Unknown {
-		f.roster.Unknown(name)
+		f.roster.MarkUnknown(name)
 	}
 	for name, incarnation := range r.SupersededAttached {
 		f.roster.Superseded(name, incarnation)
--- a/control/attachment/roster.go
+++ b/control/attachment/roster.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// Unknown records that the leader does not know an instance that was reported in brief form.
-func (r *Roster) Unknown(name string) {
+// MarkUnknown records that the leader does not know an instance that was reported in brief form.
+func (r *Roster) MarkUnknown(name string) {
 	if e, found := r.entries[name]; found {
 		e.needsFull = true
 	}
--- a/control/attachment/roster_test.go
+++ b/control/attachment/roster_test.go
@@ -27,7 +27,7 @@
 	if full() || !r.Acknowledged("a") {
 		t.Error("the leader acknowledged the report, but the next one is full or the instance is not acknowledged")
 	}
-	r.Unknown("a")
+	r.MarkUnknown("a")
 	if !full() {
 		t.Error("the leader does not know the instance, but the report is brief")
 	}
