--- a/control/attached.go
+++ b/control/attached.go
@@ -68,7 +68,7 @@
 		f.roster.MarkUnknown(name)
 	}
 	for name, incarnation := range r.SupersededAttached {
-		f.roster.Superseded(name, incarnation)
+		f.roster.MarkSuperseded(name, incarnation)
 	}
 	unknown := map[string]bool{}
 	for _, name := range r.Unknown {
--- a/control/attachment/roster.go
+++ b/control/attachment/roster.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// Superseded records that a leader knows a higher incarnation of a name.
-func (r *Roster) Superseded(name string, incarnation uint64) {
+// MarkSuperseded records that a leader knows a higher incarnation of a name.
+func (r *Roster) MarkSuperseded(name string, incarnation uint64) {
 	if e, found := r.entries[name]; found {
 		e.minIncarnation = max(e.minIncarnation, incarnation)
 	}
--- a/control/attachment/roster_test.go
+++ b/control/attachment/roster_test.go
@@ -49,7 +49,7 @@
 func TestSupersededInstanceIsRejected(t *testing.T) {
 	r := NewRoster(2 * time.Second)
 	r.Record(testStart, membership.Instance{Name: "a", Incarnation: 3})
-	r.Superseded("a", 7)
+	r.MarkSuperseded("a", 7)
 	if got := r.Statements(testStart); len(got) != 0 {
 		t.Errorf("a superseded incarnation is reported: %v", got)
 	}
