--- a/control/attached.go
+++ b/control/attached.go
@@ -18,7 +18,7 @@
 }
 
 // attachedWire encodes the statements of the attached instances.
-func attachedWire(statements []attachment.Statement) []attachedInstance {
+func attachedWire(statements []attachment.Report) []attachedInstance {
 	encoded := make([]attachedInstance, len(statements))
 	for n := range statements {
 		s := &statements[n]
--- a/control/attachment/roster.go
+++ b/control/attachment/roster.go
@@ -24,8 +24,8 @@
 	needsFull      bool   // the leader does not know it and needs a full report
 }
 
-// Statement is a voter's report to the leader about one attached instance.
-type Statement struct {
+// Report is a voter's report to the leader about one attached instance.
+type Report struct {
 	Instance membership.Instance
 	Whole    bool          // the leader may lack the fields that never change
 	Age      time.Duration // time since the instance reported
@@ -75,15 +75,15 @@
 // Statements returns the reports for the leader, sorted by name. Every sync reports all
 // attached instances, because the leader considers an instance gone when no voter reports
 // it.
-func (r *Roster) Statements(now time.Time) []Statement {
+func (r *Roster) Statements(now time.Time) []Report {
 	r.expire(now)
-	statements := make([]Statement, 0, len(r.entries))
+	statements := make([]Report, 0, len(r.entries))
 	for _, e := range r.entries {
 		if e.instance.Incarnation >= e.minIncarnation {
-			statements = append(statements, Statement{Instance: e.instance, Whole: e.needsFull, Age: now.Sub(e.heardAt)})
+			statements = append(statements, Report{Instance: e.instance, Whole: e.needsFull, Age: now.Sub(e.heardAt)})
 		}
 	}
-	slices.SortFunc(statements, func(a, b Statement) int { return strings.Compare(a.Instance.Name, b.Instance.Name) })
+	slices.SortFunc(statements, func(a, b Report) int { return strings.Compare(a.Instance.Name, b.Instance.Name) })
 	return statements
 }
 
