--- a/control/attachment/roster.go
+++ b/control/attachment/roster.go
@@ -72,10 +72,10 @@
 // Size returns the number of attached instances.
 func (r *Roster) Size() int { return len(r.entries) }
 
-// Statements returns the reports for the leader, sorted by name. Every sync reports all
+// Reports returns the reports for the leader, sorted by name. Every sync reports all
 // attached instances, because the leader considers an instance gone when no voter reports
 // it.
-func (r *Roster) Statements(now time.Time) []Report {
+func (r *Roster) Reports(now time.Time) []Report {
 	r.expire(now)
 	statements := make([]Report, 0, len(r.entries))
 	for _, e := range r.entries {
--- a/control/attachment/roster_test.go
+++ b/control/attachment/roster_test.go
@@ -19,7 +19,7 @@
 	if _, urgent := r.Record(testStart, i); !urgent {
 		t.Error("the start of an instance is not reported as urgent")
 	}
-	full := func() bool { return r.Statements(testStart)[0].Whole }
+	full := func() bool { return r.Reports(testStart)[0].Whole }
 	if !full() {
 		t.Error("the first report is brief")
 	}
@@ -38,10 +38,10 @@
 	// leader would publish its address for ever.
 	r := NewRoster(2 * time.Second)
 	r.Record(testStart, membership.Instance{Name: "a", Incarnation: 1})
-	if got := r.Statements(testStart.Add(2 * time.Second))[0].Age; got != 2*time.Second {
+	if got := r.Reports(testStart.Add(2 * time.Second))[0].Age; got != 2*time.Second {
 		t.Errorf("the report is %s old, want 2s", got)
 	}
-	if got := r.Statements(testStart.Add(3 * time.Second)); len(got) != 0 || r.Size() != 0 {
+	if got := r.Reports(testStart.Add(3 * time.Second)); len(got) != 0 || r.Size() != 0 {
 		t.Errorf("a silent instance is reported: %v", got)
 	}
 }
@@ -50,7 +50,7 @@
 	r := NewRoster(2 * time.Second)
 	r.Record(testStart, membership.Instance{Name: "a", Incarnation: 3})
 	r.MarkSuperseded("a", 7)
-	if got := r.Statements(testStart); len(got) != 0 {
+	if got := r.Reports(testStart); len(got) != 0 {
 		t.Errorf("a superseded incarnation is reported: %v", got)
 	}
 	if verdict, _ := r.Record(testStart, membership.Instance{Name: "a", Incarnation: 3}); verdict != membership.Stale {
@@ -71,7 +71,7 @@
 	if _, urgent := r.Record(testStart, membership.Instance{Name: "a", Incarnation: 1, State: membership.Gone}); !urgent {
 		t.Error("the departure of an instance is not urgent")
 	}
-	if len(r.Statements(testStart)) != 1 {
+	if len(r.Reports(testStart)) != 1 {
 		t.Error("a departure is not reported")
 	}
 	r.Acknowledge("a", 1, membership.Gone)
--- a/control/synctarget.go
+++ b/control/synctarget.go
@@ -33,7 +33,7 @@
 		Quarantine: &quarantined,
 	}
 	if c.fanout != nil {
-		request.Attached = attachedWire(c.fanout.roster.Statements(now))
+		request.Attached = attachedWire(c.fanout.roster.Reports(now))
 		request.mark = c.fanout.delivery.noted
 	}
 	if c.position.stated {
