--- a/control/attached.go
+++ b/control/attached.go
@@ -23,7 +23,7 @@
 	for n := range statements {
 		s := &statements[n]
 		encoded[n].AgeMs = s.Age.Milliseconds()
-		if s.Whole {
+		if s.Full {
 			encoded[n].Whole = &s.Instance
 		} else {
 			encoded[n].Brief = briefOf(&s.Instance)
--- a/control/attachment/roster.go
+++ b/control/attachment/roster.go
@@ -27,7 +27,7 @@
 // Report is a voter's report to the leader about one attached instance.
 type Report struct {
 	Instance membership.Instance
-	Whole    bool          // the leader may lack the fields that never change
+	Full     bool          // the leader may lack the fields that never change
 	Age      time.Duration // time since the instance reported
 }
 
@@ -80,7 +80,7 @@
 	statements := make([]Report, 0, len(r.entries))
 	for _, e := range r.entries {
 		if e.instance.Incarnation >= e.minIncarnation {
-			statements = append(statements, Report{Instance: e.instance, Whole: e.needsFull, Age: now.Sub(e.heardAt)})
+			statements = append(statements, Report{Instance: e.instance, Full: e.needsFull, Age: now.Sub(e.heardAt)})
 		}
 	}
 	slices.SortFunc(statements, func(a, b Report) int { return strings.Compare(a.Instance.Name, b.Instance.Name) })
--- a/control/attachment/roster_test.go
+++ b/control/attachment/roster_test.go
@@ -19,7 +19,7 @@
 	if _, urgent := r.Record(testStart, i); !urgent {
 		t.Error("the start of an instance is not reported as urgent")
 	}
-	full := func() bool { return r.Reports(testStart)[0].Whole }
+	full := func() bool { return r.Reports(testStart)[0].Full }
 	if !full() {
 		t.Error("the first report is brief")
 	}
