--- a/control/attachment/choice.go
+++ b/control/attachment/choice.go
@@ -37,8 +37,8 @@
 // voter reported.
 func (c *Choice) SetDetached(detached bool) { c.detached = detached }
 
-// Failed records that a voter did not answer a sync.
-func (c *Choice) Failed(voter string) { c.failed = voter }
+// RecordFailure records that a voter did not answer a sync.
+func (c *Choice) RecordFailure(voter string) { c.failed = voter }
 
 // LastFailed returns the last voter that did not answer a sync.
 func (c *Choice) LastFailed() string { return c.failed }
--- a/control/attachment/choice_test.go
+++ b/control/attachment/choice_test.go
@@ -11,7 +11,7 @@
 	order := []string{"own zone", "b", "c"}
 	var c Choice
 	now := testStart
-	c.Failed("own zone")
+	c.RecordFailure("own zone")
 	c.Attached(now, "front-1", "b")
 	if got := c.Next(now.Add(time.Second/2), "b", order); got != "" {
 		t.Errorf("%q is probed right after it failed", got)
--- a/control/synctake.go
+++ b/control/synctake.go
@@ -15,7 +15,7 @@
 	if c.position.leader == target {
 		c.position.leader = ""
 	}
-	c.choice.Failed(target)
+	c.choice.RecordFailure(target)
 	if c.inTouch {
 		eventSyncFailed.Log(c.log, event.Fields{"target": target, "error": err})
 	}
