--- a/control/attached.go
+++ b/control/attached.go
@@ -127,5 +127,5 @@
 		return
 	}
 	c.position = syncPosition{leader: target}
-	c.choice.Attached(now, c.self.Name, target)
+	c.choice.RecordAttached(now, c.self.Name, target)
 }
--- a/control/attachment/choice.go
+++ b/control/attachment/choice.go
@@ -43,9 +43,9 @@
 // LastFailed returns the last voter that did not answer a sync.
 func (c *Choice) LastFailed() string { return c.failed }
 
-// Attached records that the instance with the given name switched to voter. A hash of the
+// RecordAttached records that the instance with the given name switched to voter. A hash of the
 // name spreads the checks of instances that started at the same time.
-func (c *Choice) Attached(now time.Time, name, voter string) {
+func (c *Choice) RecordAttached(now time.Time, name, voter string) {
 	c.probed = ""
 	if c.failed == voter {
 		c.failed = ""
--- a/control/attachment/choice_test.go
+++ b/control/attachment/choice_test.go
@@ -12,7 +12,7 @@
 	var c Choice
 	now := testStart
 	c.RecordFailure("own zone")
-	c.Attached(now, "front-1", "b")
+	c.RecordAttached(now, "front-1", "b")
 	if got := c.Next(now.Add(time.Second/2), "b", order); got != "" {
 		t.Errorf("%q is probed right after it failed", got)
 	}
@@ -28,7 +28,7 @@
 	if got := c.Next(now, "b", order); got != "own zone" {
 		t.Errorf("%q is probed later, want the voter of the own zone", got)
 	}
-	c.Attached(now, "front-1", "own zone")
+	c.RecordAttached(now, "front-1", "own zone")
 	if got := c.Next(now.Add(time.Minute), "own zone", order); got != "" || c.LastFailed() != "" {
 		t.Errorf("back at its voter the instance probes %q, last failed voter %q", got, c.LastFailed())
 	}
--- a/control/synctake.go
+++ b/control/synctake.go
@@ -115,7 +115,7 @@
 		c.position = syncPosition{epoch: epoch}
 		c.received = relay.NewReceiver()
 		c.members.follow()
-		c.choice.Attached(now, c.self.Name, target)
+		c.choice.RecordAttached(now, c.self.Name, target)
 	}
 	c.position.leader = target
 }
