--- a/control/attached.go
+++ b/control/attached.go
@@ -114,7 +114,7 @@
 	defer cancel()
 	response, err := n.callSync(bounded, target, &syncRequest{Attach: true, Probe: true})
 	if err != nil {
-		return errors.CombineErrors(n.do(ctx, func(now time.Time) { n.core.choice.Unanswered(now) }), ctx.Err())
+		return errors.CombineErrors(n.do(ctx, func(now time.Time) { n.core.choice.RecordUnanswered(now) }), ctx.Err())
 	}
 	return n.do(ctx, func(now time.Time) { n.core.takeProbe(now, target, response) })
 }
--- a/control/attachment/choice.go
+++ b/control/attachment/choice.go
@@ -53,8 +53,8 @@
 	c.reviewedAt = now.Add(time.Duration(xxhash.Sum64String(name) % uint64(reviewInterval)))
 }
 
-// Unanswered records that a voter did not answer whether it has contact to a leader.
-func (c *Choice) Unanswered(now time.Time) { c.reviewedAt = now.Add(reviewPause) }
+// RecordUnanswered records that a voter did not answer whether it has contact to a leader.
+func (c *Choice) RecordUnanswered(now time.Time) { c.reviewedAt = now.Add(reviewPause) }
 
 // Next returns the voter to ask whether it has contact to a leader, or an empty string if no
 // question is due. order lists the voters in the order of preference of this instance. While
--- a/control/attachment/choice_test.go
+++ b/control/attachment/choice_test.go
@@ -20,7 +20,7 @@
 	if got := c.Next(now, "b", order); got != "own zone" {
 		t.Fatalf("%q is probed, want the voter of the own zone", got)
 	}
-	c.Unanswered(now)
+	c.RecordUnanswered(now)
 	if got := c.Next(now.Add(reviewInterval), "b", order); got != "" {
 		t.Errorf("%q is probed again right after it did not answer", got)
 	}
