--- a/control/attachment/choice.go
+++ b/control/attachment/choice.go
@@ -13,7 +13,7 @@
 	// reviewPause is the additional delay before that voter is checked again after it did
 	// not answer, because each check delays the instance's own sync.
 	reviewPause = 6 * time.Second
-	// probeInterval is how often an instance whose voter has no contact to a leader probes
+	// probeInterval is how often an instance whose voter has no contact with a leader probes
 	// another voter. It is short compared with the time that a change may take to be in
 	// force, and long enough that the probes of a whole fleet leave the voters time to elect
 	// a leader.
@@ -23,17 +23,17 @@
 // Choice decides which voter an instance syncs with and when it checks another one. It is
 // not safe for concurrent use.
 type Choice struct {
-	detached   bool // the voter of this instance has no contact to a leader
+	detached   bool // the voter of this instance has no contact with a leader
 	reviewedAt time.Time
 	probedAt   time.Time
 	probed     string // voter that was probed last while detached
 	failed     string // last voter that did not answer a sync
 }
 
-// Detached reports whether the voter of this instance has no contact to a leader.
+// Detached reports whether the voter of this instance has no contact with a leader.
 func (c *Choice) Detached() bool { return c.detached }
 
-// SetDetached records whether the voter of this instance has contact to a leader, as the
+// SetDetached records whether the voter of this instance has contact with a leader, as the
 // voter reported.
 func (c *Choice) SetDetached(detached bool) { c.detached = detached }
 
@@ -43,8 +43,8 @@
 // LastFailed returns the last voter that did not answer a sync.
 func (c *Choice) LastFailed() string { return c.failed }
 
-// RecordAttached records that the instance with the given name switched to voter. A hash of the
-// name spreads the checks of instances that started at the same time.
+// RecordAttached records that the instance with the given name switched to voter. A hash of
+// the name spreads the checks of instances that started at the same time.
 func (c *Choice) RecordAttached(now time.Time, name, voter string) {
 	c.probed = ""
 	if c.failed == voter {
@@ -53,12 +53,13 @@
 	c.reviewedAt = now.Add(time.Duration(xxhash.Sum64String(name) % uint64(reviewInterval)))
 }
 
-// RecordUnanswered records that a voter did not answer whether it has contact to a leader.
+// RecordUnanswered records that a voter did not answer whether it has contact with a leader.
 func (c *Choice) RecordUnanswered(now time.Time) { c.reviewedAt = now.Add(reviewPause) }
 
-// Next returns the voter to ask whether it has contact to a leader, or an empty string if no
-// question is due. order lists the voters in the order of preference of this instance. While
-// detached, Next goes through all voters in turn; otherwise it returns the preferred one.
+// Next returns the voter to ask whether it has contact with a leader, or an empty string if
+// no question is due. order lists the voters in the order of preference of this instance.
+// While detached, Next goes through all voters in turn; otherwise it returns the preferred
+// one.
 func (c *Choice) Next(now time.Time, own string, order []string) string {
 	var next string
 	switch {
--- a/control/attachment/choice_test.go
+++ b/control/attachment/choice_test.go
@@ -35,7 +35,7 @@
 }
 
 func TestDetachedInstanceProbesAllVotersInTurn(t *testing.T) {
-	// The voter of an instance has no contact to a leader, and neither have some of the
+	// The voter of an instance has no contact with a leader, and neither have some of the
 	// other voters. The instance has to probe each of them, with a pause before each probe.
 	order := []string{"a", "b", "c"}
 	var c Choice
--- a/control/attachment/roster.go
+++ b/control/attachment/roster.go
@@ -77,14 +77,14 @@
 // it.
 func (r *Roster) Reports(now time.Time) []Report {
 	r.expire(now)
-	statements := make([]Report, 0, len(r.entries))
+	reports := make([]Report, 0, len(r.entries))
 	for _, e := range r.entries {
 		if e.instance.Incarnation >= e.minIncarnation {
-			statements = append(statements, Report{Instance: e.instance, Full: e.needsFull, Age: now.Sub(e.heardAt)})
+			reports = append(reports, Report{Instance: e.instance, Full: e.needsFull, Age: now.Sub(e.heardAt)})
 		}
 	}
-	slices.SortFunc(statements, func(a, b Report) int { return strings.Compare(a.Instance.Name, b.Instance.Name) })
-	return statements
+	slices.SortFunc(reports, func(a, b Report) int { return strings.Compare(a.Instance.Name, b.Instance.Name) })
+	return reports
 }
 
 func (r *Roster) expire(now time.Time) {
@@ -107,7 +107,8 @@
 	}
 }
 
-// MarkUnknown records that the leader does not know an instance that was reported in brief form.
+// MarkUnknown records that the leader does not know an instance that was reported in brief
+// form.
 func (r *Roster) MarkUnknown(name string) {
 	if e, found := r.entries[name]; found {
 		e.needsFull = true
--- a/control/relay/load.go
+++ b/control/relay/load.go
@@ -9,11 +9,9 @@
 	"celeryport/upstream"
 )
 
-// The units in which loads travel. They are small against what the choice of an
-// upstream depends on, and keep most numbers in one or two bytes.
+// Units in which loads are encoded. They are small compared with the differences that affect
+// the choice of an upstream, and keep most numbers within one or two bytes.
 const (
-	// Units in which loads are encoded. They are small compared with the differences that
-	// affect the choice of an upstream, and keep most numbers within one or two bytes.
 	ageUnit       = 100 * time.Millisecond
 	loadAgeUnit   = 10 * time.Millisecond
 	prefillUnit   = 256  // tokens
--- a/control/relay/relay_test.go
+++ b/control/relay/relay_test.go
@@ -144,8 +144,8 @@
 	})
 }
 
-// checkRegistry checks that every announcement in the receiver's registry was sent by its upstream
-// and looks no fresher than it is.
+// checkRegistry checks that every announcement in the receiver's registry was sent by its
+// upstream and looks no fresher than it is.
 func checkRegistry(t *rapid.T, got, truth *upstream.Registry, now time.Time) {
 	expected := map[string]upstream.Upstream{}
 	for _, u := range truth.Snapshot(now).Upstreams {
--- a/control/relay/sender.go
+++ b/control/relay/sender.go
@@ -23,7 +23,7 @@
 // receivers.
 type Sender struct {
 	table     map[string]*tableEntry
-	refs      uint32
+	lastRef   uint32
 	number    uint64
 	batches   []batch // oldest first
 	fullTable batch   // full table as of a batch; empty if it was not requested since
@@ -149,9 +149,9 @@
 // addNew assigns an upstream a new reference. References are never reused, so a receiver
 // that missed a batch cannot mistake one upstream for another.
 func (s *Sender) addNew(b *rpc.UpstreamBatch, c upstream.Relayed, heardAt time.Time) error {
-	s.refs++
-	s.table[c.Announcement.Name] = &tableEntry{ref: s.refs, announcement: c.Announcement, heardAt: heardAt}
-	return appendNew(b, s.refs, &c.Announcement, c.Age)
+	s.lastRef++
+	s.table[c.Announcement.Name] = &tableEntry{ref: s.lastRef, announcement: c.Announcement, heardAt: heardAt}
+	return appendNew(b, s.lastRef, &c.Announcement, c.Age)
 }
 
 func appendNew(b *rpc.UpstreamBatch, ref uint32, a *upstream.Announcement, age time.Duration) error {
--- a/control/state/machine.go
+++ b/control/state/machine.go
@@ -99,15 +99,15 @@
 		return Outcome{}, nil
 	}
 	if command.Document != nil {
-		return m.put(index, command.Document), nil
+		return m.putDocument(index, command.Document), nil
 	}
 	return m.apply(index, command.Apply), nil
 }
 
-// put installs a document only if its version is higher than the accepted one. A document
-// that is resent, or that arrives after a newer one, is acknowledged without effect, so the
-// content of an accepted version never changes.
-func (m *Machine) put(index uint64, d *PutDocument) Outcome {
+// putDocument installs a document only if its version is higher than the accepted one. A
+// document that is resent, or that arrives after a newer one, is acknowledged without
+// effect, so the content of an accepted version never changes.
+func (m *Machine) putDocument(index uint64, d *PutDocument) Outcome {
 	if m.content.Current.Number > 0 && d.Version <= m.content.Current.Version {
 		return Outcome{Kind: Superseded, Current: m.content.Current.Number}
 	}
--- a/instance/directory.go
+++ b/instance/directory.go
@@ -2,8 +2,8 @@
 
 import "celeryport/membership"
 
-// minZoneInstances is how many live instances an availability zone needs for its callers to get
-// addresses of this zone only. With a single address, a caller that cannot reach that
+// minZoneInstances is how many live instances an availability zone needs for its callers to
+// get addresses of this zone only. With a single address, a caller that cannot reach that
 // instance would have no alternative until it requests the list again.
 const minZoneInstances = 2
 
--- a/instance/forwarding.go
+++ b/instance/forwarding.go
@@ -30,8 +30,8 @@
 }
 
 // RunForwarding runs an instance that forwards calls or only takes part in control. When
-// stop is done, the instance shuts down gracefully. The shutdown ends when hardStop is done or
-// the drain timeout of the settings has passed.
+// stop is done, the instance shuts down gracefully. The shutdown ends when hardStop is done
+// or the drain timeout of the settings has passed.
 func RunForwarding(stop, hardStop context.Context, options Options) error {
 	f := &forwarding{options: &options, metrics: newProcessRegistry()}
 	if err := f.assemble(); err != nil {
@@ -66,7 +66,7 @@
 		heal = 2*p.Losses + 1
 	}
 	adapter := f.options.Adapter
-	var answer http.Handler
+	var controlHandler http.Handler
 	node, err := control.New(control.Options{
 		Process: p,
 		Log:     f.options.Log,
@@ -76,12 +76,12 @@
 		Heal:    heal,
 		FanOut:  true,
 		ExtraAt: adapter.ControlPrefix,
-		Extra:   http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { answer.ServeHTTP(w, r) }),
+		Extra:   http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { controlHandler.ServeHTTP(w, r) }),
 	})
 	if err != nil {
 		return errors.Wrap(err, "control")
 	}
-	answer = adapter.Control(node)
+	controlHandler = adapter.Control(node)
 	f.node = node
 	f.metrics.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "control_announcements_refused_total",
@@ -102,7 +102,7 @@
 
 // forwardingTiming returns the intervals of instances that forward calls.
 //
-// These instances keep their settings when they lose contact to the control group, so a
+// These instances keep their settings when they lose contact with the control group, so a
 // lease only shows that the instance is live: callers must not get the address of an
 // instance that stopped more than two seconds ago. A majority confirms reads and changes, so
 // a short election timeout costs no more than an occasional additional election, while each
--- a/instance/run.go
+++ b/instance/run.go
@@ -75,12 +75,12 @@
 	}
 	eventServing.Log(options.Log, event.Fields{"address": listener.Addr().String()})
 	group, ctx := errgroup.WithContext(ctx)
-	copying, stopCopying := context.WithCancel(ctx)
+	copyContext, stopCopying := context.WithCancel(ctx)
 	group.Go(func() error { return errors.Wrap(server.Serve(listener), "serve callers") })
-	group.Go(func() error { return reportDemands(copying, node, server) })
-	group.Go(func() error { return parts.runCopier(copying) })
+	group.Go(func() error { return reportDemands(copyContext, node, server) })
+	group.Go(func() error { return parts.runCopier(copyContext) })
 	group.Go(func() error {
-		parts.reports.KeepBook(copying)
+		parts.reports.KeepBook(copyContext)
 		return nil
 	})
 	group.Go(func() error {
--- a/membership/table.go
+++ b/membership/table.go
@@ -11,10 +11,10 @@
 // interval. Table does no I/O, reads no clock and is not safe for concurrent use.
 type Table struct {
 	timing    Timing
-	createdAt time.Time // when this table was created
-	revision  uint64    // incremented by each change that is published to other instances
+	createdAt time.Time
+	revision  uint64 // incremented by each change that is published to other instances
 	members   map[string]*member
-	former    []member // earlier incarnations whose lease may still be valid
+	retired   []member // earlier incarnations whose lease may still be valid
 }
 
 // member is the leader's record of one instance.
@@ -41,12 +41,13 @@
 	Stale
 )
 
-// RecordForwarded records an instance's report that a voter received age ago and forwarded. Reports
-// of one instance may arrive over two paths and out of order. A report that is older than
-// the last known one is ignored, and a draining instance stays draining.
+// RecordForwarded records an instance's report that a voter received age ago and forwarded.
+// Reports of one instance may arrive over two paths and out of order. A report that is older
+// than the last known one is ignored, and a draining instance stays draining.
 //
-// The instance has no lease from this leader, but the report counts as one: no revision is
-// considered in force while the instance is live and has confirmed only an older revision.
+// Such an instance does not admit calls by a lease, but each of its reports counts as one:
+// no revision is considered in force while the instance is live and has confirmed only an
+// older revision.
 func (t *Table) RecordForwarded(now time.Time, age time.Duration, i Instance) Verdict {
 	heardAt := now.Add(-age)
 	if known, found := t.members[i.Name]; found && known.instance.Incarnation == i.Incarnation {
@@ -96,7 +97,7 @@
 // old revision.
 func (t *Table) retire(known *member) {
 	if known.holdsLease {
-		t.former = append(t.former, *known)
+		t.retired = append(t.retired, *known)
 	}
 	known.holdsLease = false
 }
@@ -119,7 +120,7 @@
 // Expire marks instances as gone once their lease has certainly lapsed, and removes those
 // that have been gone for longer than the retention time.
 func (t *Table) Expire(now time.Time) {
-	t.former = slices.DeleteFunc(t.former, func(m member) bool { return t.lapsed(now, &m) })
+	t.retired = slices.DeleteFunc(t.retired, func(m member) bool { return t.lapsed(now, &m) })
 	for name, m := range t.members {
 		if m.holdsLease && t.lapsed(now, m) {
 			m.holdsLease = false
@@ -163,7 +164,7 @@
 			found = append(found, m.instance)
 		}
 	}
-	for _, m := range t.former {
+	for _, m := range t.retired {
 		if m.instance.Revision < revision {
 			found = append(found, m.instance)
 		}
