--- a/control/attached.go
+++ b/control/attached.go
@@ -18,12 +18,12 @@
 }
 
 // attachedWire encodes the statements of the attached instances.
-func attachedWire(statements []attachment.Statement) []attachedInstance {
+func attachedWire(statements []attachment.Report) []attachedInstance {
 	encoded := make([]attachedInstance, len(statements))
 	for n := range statements {
 		s := &statements[n]
 		encoded[n].AgeMs = s.Age.Milliseconds()
-		if s.Whole {
+		if s.Full {
 			encoded[n].Whole = &s.Instance
 		} else {
 			encoded[n].Brief = briefOf(&s.Instance)
@@ -41,7 +41,7 @@
 			unknown = append(unknown, attached[n].Brief.Name)
 			continue
 		}
-		if l.table.Passed(now, time.Duration(attached[n].AgeMs)*time.Millisecond, i) == membership.Stale {
+		if l.table.RecordForwarded(now, time.Duration(attached[n].AgeMs)*time.Millisecond, i) == membership.Stale {
 			if superseded == nil {
 				superseded = map[string]uint64{}
 			}
@@ -66,10 +66,10 @@
 // voter.
 func (f *fanout) applyAttachedResult(sent []attachedInstance, r *syncResponse) {
 	for _, name := range r.Unknown {
-		f.roster.Unknown(name)
+		f.roster.MarkUnknown(name)
 	}
 	for name, incarnation := range r.SupersededAttached {
-		f.roster.Superseded(name, incarnation)
+		f.roster.MarkSuperseded(name, incarnation)
 	}
 	unknown := map[string]bool{}
 	for _, name := range r.Unknown {
@@ -81,7 +81,7 @@
 			brief = briefOf(sent[n].Whole)
 		}
 		if _, stale := r.SupersededAttached[brief.Name]; !stale && !unknown[brief.Name] {
-			f.roster.Taken(brief.Name, brief.Incarnation, brief.State)
+			f.roster.Acknowledge(brief.Name, brief.Incarnation, brief.State)
 		}
 	}
 }
@@ -115,7 +115,7 @@
 	defer cancel()
 	response, err := n.callSync(bounded, target, &syncRequest{Attach: true, Probe: true})
 	if err != nil {
-		return errors.CombineErrors(n.do(ctx, func(now time.Time) { n.core.choice.Unanswered(now) }), ctx.Err())
+		return errors.CombineErrors(n.do(ctx, func(now time.Time) { n.core.choice.RecordUnanswered(now) }), ctx.Err())
 	}
 	return n.do(ctx, func(now time.Time) { n.core.applyProbe(now, target, response) })
 }
@@ -128,5 +128,5 @@
 		return
 	}
 	c.position = syncPosition{leader: target}
-	c.choice.Attached(now, c.self.Name, target)
+	c.choice.RecordAttached(now, c.self.Name, target)
 }
--- a/control/evidence_test.go
+++ b/control/evidence_test.go
@@ -85,12 +85,12 @@
 	voter := func(name string, version int) membership.Instance {
 		return membership.Instance{Name: name, Incarnation: 1, Voter: true, LogVersion: version}
 	}
-	l.table.Heard(began, voter("upgraded", state.LogVersion))
-	l.table.Heard(began, membership.Instance{Name: "not a voter", Incarnation: 1})
+	l.table.Record(began, voter("upgraded", state.LogVersion))
+	l.table.Record(began, membership.Instance{Name: "not a voter", Incarnation: 1})
 	if !l.votersSupport(state.LogVersion) {
 		t.Error("evidence is held back although all voters are upgraded")
 	}
-	l.table.Heard(began, voter("old", 0))
+	l.table.Record(began, voter("old", 0))
 	if l.votersSupport(state.LogVersion) {
 		t.Error("evidence is proposed although an old voter cannot decode it")
 	}
--- a/control/fanout.go
+++ b/control/fanout.go
@@ -63,7 +63,7 @@
 		reply <- &syncResponse{Restate: true}
 		return
 	}
-	verdict, news := f.roster.Heard(now, request.Instance)
+	verdict, news := f.roster.Record(now, request.Instance)
 	if verdict == membership.Stale {
 		reply <- &syncResponse{Superseded: f.roster.Incarnation(request.Instance.Name)}
 		return
@@ -169,7 +169,7 @@
 		HeardUpTo:          p.heardUpTo,
 		HeldMs:             now.Sub(p.arrivedAt).Milliseconds(),
 		Detached:           !f.connected(now),
-		Accepted:           f.roster.IsTaken(r.Instance.Name),
+		Accepted:           f.roster.Acknowledged(r.Instance.Name),
 		mayAnnounceLeaving: p.mayAnnounceLeaving,
 
 		Quarantine: f.core.group.quarantineAfter(r),
--- a/control/leader.go
+++ b/control/leader.go
@@ -91,7 +91,7 @@
 		reply <- &syncResponse{Restate: true}
 		return
 	}
-	if l.table.Heard(now, request.Instance) == membership.Stale {
+	if l.table.Record(now, request.Instance) == membership.Stale {
 		reply <- &syncResponse{Superseded: l.table.Incarnation(request.Instance.Name)}
 		return
 	}
@@ -182,7 +182,7 @@
 	l.confirmed.setCurrent(now, response.Revision)
 	if group.leaseValid(now) && r.Instance.State != membership.Gone && l.confirmed.isRecent(now, r.Instance.Revision) {
 		response.LeaseMs = l.core.timing.Membership.Lease.Milliseconds()
-		l.table.Granted(now, r.Instance.Name)
+		l.table.RecordLease(now, r.Instance.Name)
 	}
 	response.Grants, response.GrantsAt = l.grants(now, r.Instance.Name)
 	return response
--- a/control/relay/fuzz_test.go
+++ b/control/relay/fuzz_test.go
@@ -6,9 +6,9 @@
 	"celeryport/upstream"
 )
 
-func FuzzReceiverTake(f *testing.F) {
-	// Another instance of a faulty or newer version sends what no sender would.
-	// The control goroutine must refuse it, not fall over with the whole instance.
+func FuzzReceiverApply(f *testing.F) {
+	// An instance of a faulty or newer version sends a malformed delta. The receiver must
+	// reject it without a panic, which would end the whole instance.
 	s := NewSender()
 	for second := range 2 {
 		changes := []upstream.Relayed{{Announcement: announcement(1, second)}, {Announcement: announcement(2, second)}}
@@ -29,12 +29,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := r.Take(full, 0); err != nil {
+		if _, err := r.Apply(full, 0); err != nil {
 			t.Fatal(err)
 		}
-		relayed, err := r.Take(delta, 0)
+		relayed, err := r.Apply(delta, 0)
 		if err != nil && relayed != nil {
-			t.Fatal("a refused delta gave upstreams")
+			t.Fatal("a rejected delta returned upstreams")
 		}
 	})
 }
--- a/control/relay/sender.go
+++ b/control/relay/sender.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	keptBatches = 16        // a receiver that is further behind gets everything anew
-	forgetAfter = time.Hour // upstreams that were not heard for so long leave the table
+	maxBatches = 16        // a receiver that is further behind gets the full table
+	retention  = time.Hour // upstreams that were not heard from for this long are removed from the table
 )
 
-// Sender gathers what was heard into numbered batches. Each batch is encoded
-// once, for all receivers.
+// Sender collects announcements into numbered batches. Each batch is encoded once for all
+// receivers.
 type Sender struct {
-	table   map[string]*sent
-	refs    uint32
-	number  uint64
-	batches []batch // newest last
-	whole   batch   // the whole table as of a batch; nothing encoded: not asked for since
+	table     map[string]*tableEntry
+	lastRef   uint32
+	number    uint64
+	batches   []batch // oldest first
+	fullTable batch   // full table as of a batch; empty if it was not requested since
 }
 
-// sent is an upstream as of the last batch.
-type sent struct {
+// tableEntry is the state of an upstream as of the last batch.
+type tableEntry struct {
 	ref          uint32
 	announcement upstream.Announcement
 	heardAt      time.Time
@@ -43,17 +43,17 @@
 }
 
 // NewSender returns a sender that knows no upstream.
-func NewSender() *Sender { return &Sender{table: map[string]*sent{}} }
+func NewSender() *Sender { return &Sender{table: map[string]*tableEntry{}} }
 
-// Add makes a batch of what changed since the last one. Nothing changed: no
-// batch.
+// Add creates a batch of the changes since the last one. It creates none if there are no
+// changes.
 func (s *Sender) Add(now time.Time, changes []upstream.Relayed) error {
-	s.forget(now)
+	s.expire(now)
 	if len(changes) == 0 {
 		return nil
 	}
 	var b rpc.UpstreamBatch
-	var known []*sent
+	var known []*tableEntry
 	before := map[uint32]upstream.Announcement{}
 	for _, c := range changes {
 		old := s.table[c.Announcement.Name]
@@ -75,16 +75,16 @@
 	}
 	s.number++
 	s.batches = append(s.batches, batch{s.number, now, encoded})
-	if excess := len(s.batches) - keptBatches; excess > 0 {
+	if excess := len(s.batches) - maxBatches; excess > 0 {
 		s.batches = slices.Delete(s.batches, 0, excess)
 	}
 	return nil
 }
 
-// Position is the number of the last batch.
+// Position returns the number of the last batch.
 func (s *Sender) Position() uint64 { return s.number }
 
-// Since encodes what a receiver at the position lacks, nil if nothing.
+// Since encodes what a receiver at the given position lacks, nil if nothing.
 func (s *Sender) Since(now time.Time, position uint64) ([]byte, error) {
 	if position == s.number {
 		return nil, nil
@@ -106,23 +106,23 @@
 	return &rpc.SentBatch{AgeMs: unitsOf(now.Sub(b.at), time.Millisecond), Number: b.number, Batch: b.encoded}
 }
 
-// full encodes the whole table as of the last batch. When a fleet starts, all its
-// instances ask for it within a moment, and a table of hundreds takes milliseconds: it
-// is encoded once for those that ask between two batches.
+// full encodes the full table as of the last batch. When a fleet starts, all its instances
+// request the table almost at once, and encoding hundreds of upstreams takes milliseconds.
+// The encoding is therefore reused until the next batch.
 func (s *Sender) full(now time.Time) ([]byte, error) {
-	if s.whole.number != s.number || len(s.whole.encoded) == 0 {
+	if s.fullTable.number != s.number || len(s.fullTable.encoded) == 0 {
 		encoded, err := s.encodeTable(now)
 		if err != nil {
 			return nil, err
 		}
-		s.whole = batch{number: s.number, at: now, encoded: encoded}
+		s.fullTable = batch{number: s.number, at: now, encoded: encoded}
 	}
-	delta := rpc.UpstreamDelta{Position: s.number, Full: true, Batches: []*rpc.SentBatch{sentBatch(now, s.whole)}}
+	delta := rpc.UpstreamDelta{Position: s.number, Full: true, Batches: []*rpc.SentBatch{sentBatch(now, s.fullTable)}}
 	encoded, err := proto.Marshal(&delta)
 	return encoded, errors.Wrap(err, "encode upstreams")
 }
 
-// encodeTable encodes all upstreams as a packed batch.
+// encodeTable encodes all upstreams as one compressed batch.
 func (s *Sender) encodeTable(now time.Time) ([]byte, error) {
 	var b rpc.UpstreamBatch
 	for _, u := range s.sorted() {
@@ -137,21 +137,21 @@
 	return pack.Text(encoded)
 }
 
-func (s *Sender) sorted() []*sent {
-	all := make([]*sent, 0, len(s.table))
+func (s *Sender) sorted() []*tableEntry {
+	all := make([]*tableEntry, 0, len(s.table))
 	for _, u := range s.table {
 		all = append(all, u)
 	}
-	slices.SortFunc(all, func(a, b *sent) int { return strings.Compare(a.announcement.Name, b.announcement.Name) })
+	slices.SortFunc(all, func(a, b *tableEntry) int { return strings.Compare(a.announcement.Name, b.announcement.Name) })
 	return all
 }
 
-// addNew gives an upstream a new reference. References are never used again, so
-// a receiver that missed something can't take one upstream for another.
+// addNew assigns an upstream a new reference. References are never reused, so a receiver
+// that missed a batch cannot mistake one upstream for another.
 func (s *Sender) addNew(b *rpc.UpstreamBatch, c upstream.Relayed, heardAt time.Time) error {
-	s.refs++
-	s.table[c.Announcement.Name] = &sent{ref: s.refs, announcement: c.Announcement, heardAt: heardAt}
-	return appendNew(b, s.refs, &c.Announcement, c.Age)
+	s.lastRef++
+	s.table[c.Announcement.Name] = &tableEntry{ref: s.lastRef, announcement: c.Announcement, heardAt: heardAt}
+	return appendNew(b, s.lastRef, &c.Announcement, c.Age)
 }
 
 func appendNew(b *rpc.UpstreamBatch, ref uint32, a *upstream.Announcement, age time.Duration) error {
@@ -167,15 +167,15 @@
 	return nil
 }
 
-func (s *Sender) forget(now time.Time) {
+func (s *Sender) expire(now time.Time) {
 	for name, u := range s.table {
-		if now.Sub(u.heardAt) > forgetAfter {
+		if now.Sub(u.heardAt) > retention {
 			delete(s.table, name)
 		}
 	}
 }
 
-// sameIdentity reports whether only the load and the sequence differ.
+// sameIdentity reports whether two announcements differ only in load and sequence number.
 func sameIdentity(a, b *upstream.Announcement) bool {
 	return a.Incarnation == b.Incarnation && a.Address == b.Address && a.Kind == b.Kind &&
 		a.Version == b.Version && a.AvailabilityZone == b.AvailabilityZone &&
--- a/control/syncapply.go
+++ b/control/syncapply.go
@@ -16,7 +16,7 @@
 	if c.position.leader == target {
 		c.position.leader = ""
 	}
-	c.choice.Failed(target)
+	c.choice.RecordFailure(target)
 	if c.connected {
 		eventSyncFailed.Log(c.log, event.Fields{"target": target, "error": err})
 	}
@@ -117,7 +117,7 @@
 		c.position = syncPosition{epoch: epoch}
 		c.received = relay.NewReceiver()
 		c.members.startEpoch()
-		c.choice.Attached(now, c.self.Name, target)
+		c.choice.RecordAttached(now, c.self.Name, target)
 	}
 	c.position.leader = target
 }
