--- a/accounting/burn.go
+++ b/accounting/burn.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	bearer    = "Bearer "
-	challenge = `Basic realm="celeryport operators"`
-	htmlType  = "text/html; charset=utf-8"
-	jsonType  = "application/json"
-	textType  = "text/plain; charset=utf-8"
+	bearerPrefix   = "Bearer "
+	basicChallenge = `Basic realm="celeryport operators"`
+	htmlType       = "text/html; charset=utf-8"
+	jsonType       = "application/json"
+	textType       = "text/plain; charset=utf-8"
 )
 
 // Burn computes the burn over all instances.
@@ -28,10 +28,10 @@
 	if view == nil || view.Tree == nil {
 		return nil, verdict.Refuse(verdict.ReasonNoLease, 0, "this instance has no settings tree yet")
 	}
-	known := r.gather(ctx)
+	fleet := r.gather(ctx)
 	now := r.opts.Clock.Now()
-	report := ledger.NewReport(known.input(ledger.Query{}, now))
-	return burn.Compute(burn.Input{Now: now, Tree: view.Tree, State: known.state, Unknown: len(report.Unknown)}), nil
+	report := ledger.NewReport(fleet.input(ledger.Query{}, now))
+	return burn.Compute(burn.Input{Now: now, Tree: view.Tree, State: fleet.state, Unknown: len(report.Unknown)}), nil
 }
 
 func (r *Reporter) handleBurn(ctx context.Context, _ []byte) ([]byte, error) {
@@ -49,7 +49,7 @@
 		header := string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
 		if !settings.MatchKey(presentedKey(header), operatorKeys) {
 			ctx.Error("an operator key is needed, as bearer token or as password", http.StatusUnauthorized)
-			ctx.Response.Header.Set(fasthttp.HeaderWWWAuthenticate, challenge)
+			ctx.Response.Header.Set(fasthttp.HeaderWWWAuthenticate, basicChallenge)
 			return
 		}
 		r.writeBurn(ctx)
@@ -58,7 +58,7 @@
 
 // presentedKey reads a bearer token, or the password that a browser asks for.
 func presentedKey(header string) string {
-	if key, found := strings.CutPrefix(header, bearer); found {
+	if key, found := strings.CutPrefix(header, bearerPrefix); found {
 		return key
 	}
 	basic := http.Request{Header: http.Header{fasthttp.HeaderAuthorization: {header}}}
--- a/accounting/burn_test.go
+++ b/accounting/burn_test.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-func TestBurnIsForOperatorsOnly(t *testing.T) {
+func TestBurnPageRequiresAnOperatorKey(t *testing.T) {
 	f := newFleetOf(t, 1, 0)
 	countServed(f, f.instances[0], 5)
 	const key = "example-only-operator-key"
--- a/accounting/copier.go
+++ b/accounting/copier.go
@@ -38,11 +38,11 @@
 	opts CopierOptions
 	send func(ctx context.Context, address string, encoded []byte) (*rpc.LedgerResponse, error)
 
-	mu        sync.Mutex
-	positions map[string][]byte // what each voter has, by control address
-	failing   map[string]bool
-	busy      map[string]bool // a copy to the voter is under way
-	storedAt  time.Time       // when a voter last had everything
+	mu            sync.Mutex
+	positions     map[string][]byte // what each voter has, by control address
+	failing       map[string]bool
+	inProgress    map[string]bool // a copy to the voter is under way
+	fullyCopiedAt time.Time       // when a voter last had everything
 }
 
 // NewCopier returns a copier that has copied nothing yet.
@@ -56,9 +56,9 @@
 	if opts.Clock == nil {
 		opts.Clock = clock.Real{}
 	}
-	c := &Copier{opts: opts, positions: map[string][]byte{}, failing: map[string]bool{}, busy: map[string]bool{}}
+	c := &Copier{opts: opts, positions: map[string][]byte{}, failing: map[string]bool{}, inProgress: map[string]bool{}}
 	c.send = c.call
-	c.storedAt = opts.Clock.Now()
+	c.fullyCopiedAt = opts.Clock.Now()
 	return c
 }
 
@@ -66,7 +66,7 @@
 func (c *Copier) Age() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.opts.Clock.Now().Sub(c.storedAt)
+	return c.opts.Clock.Now().Sub(c.fullyCopiedAt)
 }
 
 // Run copies until the context ends. Flush makes the first copy before the first
@@ -82,7 +82,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			c.copyToIdle(ctx, &group)
+			c.copyToIdleVoters(ctx, &group)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 // copyToIdle begins a copy to every voter to which none is under way. One that
 // hangs, on a connection gone silent, must not keep the counters from the others:
 // were this instance killed then, more would be unknown than need be.
-func (c *Copier) copyToIdle(ctx context.Context, group *sync.WaitGroup) {
+func (c *Copier) copyToIdleVoters(ctx context.Context, group *sync.WaitGroup) {
 	for _, address := range c.voters() {
 		if !c.begin(address) {
 			continue
@@ -105,17 +105,17 @@
 func (c *Copier) begin(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.busy[address] {
+	if c.inProgress[address] {
 		return false
 	}
-	c.busy[address] = true
+	c.inProgress[address] = true
 	return true
 }
 
 func (c *Copier) end(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.busy, address)
+	delete(c.inProgress, address)
 }
 
 // Flush copies to all voters once, and returns how many of them have everything.
@@ -152,21 +152,21 @@
 
 // exchanges is how many copies bring a voter up to date: if it lacks what came
 // before the first one, its answer says so, and the second starts from there.
-const exchanges = 2
+const maxExchanges = 2
 
 func (c *Copier) copyTo(ctx context.Context, address string) bool {
-	for range exchanges {
+	for range maxExchanges {
 		takenAt := c.opts.Clock.Now()
 		encoded, upTo, err := c.opts.Account.Copy(takenAt, c.position(address))
 		if err == nil {
 			err = c.exchange(ctx, address, encoded)
 		}
-		c.note(address, err)
+		c.logTransition(address, err)
 		if err != nil {
 			return false
 		}
 		if bytes.Compare(c.position(address), upTo) >= 0 {
-			c.noteStored(takenAt)
+			c.recordStored(takenAt)
 			return true
 		}
 	}
@@ -198,17 +198,17 @@
 	return c.positions[address]
 }
 
-func (c *Copier) noteStored(at time.Time) {
+func (c *Copier) recordStored(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if at.After(c.storedAt) {
-		c.storedAt = at
+	if at.After(c.fullyCopiedAt) {
+		c.fullyCopiedAt = at
 	}
 }
 
 // note logs when copies to a voter begin to fail and when they succeed again,
 // not every one between.
-func (c *Copier) note(address string, err error) {
+func (c *Copier) logTransition(address string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	failed := err != nil
--- a/accounting/copier_test.go
+++ b/accounting/copier_test.go
@@ -12,7 +12,7 @@
 // The connection to one voter has gone silent: copies leave and no answer comes.
 // If that held up the copies to the other voters, a killed instance would leave
 // behind seconds of requests that nobody can report.
-func TestSilentVoterDoesNotHoldUpTheOthers(t *testing.T) {
+func TestUnresponsiveVoterDoesNotDelayCopiesToOthers(t *testing.T) {
 	f := newFleetOf(t, 2, 1)
 	synctest.Test(t, func(t *testing.T) {
 		rounds := map[time.Time]bool{}
@@ -20,7 +20,7 @@
 		entry.copier.send = func(ctx context.Context, address string, _ []byte) (*rpc.LedgerResponse, error) {
 			if address == f.instances[0].address() {
 				<-ctx.Done()
-				return nil, errCut
+				return nil, errConnectionLost
 			}
 			rounds[time.Now()] = true
 			return &rpc.LedgerResponse{}, nil
--- a/accounting/differential_test.go
+++ b/accounting/differential_test.go
@@ -13,7 +13,7 @@
 )
 
 // entry is one request as its caller and its upstream saw it.
-type entry struct {
+type journalEntry struct {
 	request  *request.Request
 	instance ledger.ID
 	ended    string // what the caller was told, empty: nothing yet
@@ -25,14 +25,14 @@
 
 // journal is kept apart from the ledger, by those outside of the fleet.
 type journal struct {
-	entries []*entry
+	entries []*journalEntry
 }
 
 // tally is what the journal has for an organisation and class.
 type tally struct{ received, served, refused, failed, executed uint64 }
 
 // tally adds up what a state says of each entry.
-func (j *journal) tally(organisation, class string, state func(*entry) (received bool, ended string)) tally {
+func (j *journal) tally(organisation, class string, state func(*journalEntry) (received bool, ended string)) tally {
 	var t tally
 	for _, e := range j.entries {
 		received, ended := state(e)
@@ -61,15 +61,15 @@
 	random  *rand.Rand
 	fleet   *testFleet
 	journal journal
-	open    []*entry
+	open    []*journalEntry
 	killed  map[ledger.ID]bool
 }
 
-func (d *differential) live(i *testInstance) ledger.ID {
+func (d *differential) idOf(i *testInstance) ledger.ID {
 	return ledger.ID{Instance: i.name, Incarnation: i.incarnation}
 }
 
-func (d *differential) pick() *testInstance {
+func (d *differential) pickRunning() *testInstance {
 	up := d.fleet.instances[:0:0]
 	for _, i := range d.fleet.instances {
 		if i.up {
@@ -80,14 +80,14 @@
 }
 
 func (d *differential) receive() {
-	i := d.pick()
+	i := d.pickRunning()
 	r := &request.Request{
 		ID:           fmt.Sprint("request-", len(d.journal.entries)),
 		Organisation: []string{"atelier", "archivio"}[d.random.IntN(2)],
 		Class:        []string{"counter", "hold"}[d.random.IntN(2)],
 		Target:       "sarto",
 	}
-	e := &entry{request: r, instance: d.live(i)}
+	e := &journalEntry{request: r, instance: d.idOf(i)}
 	d.journal.entries = append(d.journal.entries, e)
 	d.open = append(d.open, e)
 	i.account.Received(r)
@@ -120,7 +120,7 @@
 
 func (d *differential) running(id ledger.ID) *testInstance {
 	for _, i := range d.fleet.instances {
-		if i.up && d.live(i) == id {
+		if i.up && d.idOf(i) == id {
 			return i
 		}
 	}
@@ -128,20 +128,20 @@
 }
 
 func (d *differential) flush() {
-	i := d.pick()
+	i := d.pickRunning()
 	if i.copier.Flush(context.Background()) == 0 {
 		d.t.Fatal("no voter has taken a copy")
 	}
 	for _, e := range d.journal.entries {
-		if e.instance == d.live(i) {
+		if e.instance == d.idOf(i) {
 			e.copied, e.copiedEnd = true, e.ended
 		}
 	}
 }
 
 // killOne keeps one voter running: with all disks out of reach nobody can tell.
-func (d *differential) killOne() {
-	i := d.pick()
+func (d *differential) killRandom() {
+	i := d.pickRunning()
 	voters := 0
 	for _, other := range d.fleet.instances {
 		if other.up && other.voter {
@@ -151,7 +151,7 @@
 	if i.voter && voters == 1 {
 		return
 	}
-	d.killed[d.live(i)] = true
+	d.killed[d.idOf(i)] = true
 	i.kill()
 }
 
@@ -174,14 +174,14 @@
 	case n < 95:
 		d.flush()
 	case n < 97:
-		d.killOne()
+		d.killRandom()
 	default:
 		d.restart()
 	}
 }
 
 func (d *differential) compare() {
-	report := d.pick().reporter.Report(context.Background(), ledger.Query{})
+	report := d.pickRunning().reporter.Report(context.Background(), ledger.Query{})
 	unknown := map[ledger.ID]bool{}
 	for _, u := range report.Unknown {
 		id := ledger.ID{Instance: u.Instance, Incarnation: u.Incarnation}
@@ -197,16 +197,16 @@
 		}
 	}
 	for _, row := range report.Rows {
-		all := d.journal.tally(row.Organisation, row.Class, seen)
-		sure := d.journal.tally(row.Organisation, row.Class, d.known(complete))
+		all := d.journal.tally(row.Organisation, row.Class, observed)
+		lower := d.journal.tally(row.Organisation, row.Class, d.durable(complete))
 		if !row.Balanced() {
 			d.t.Errorf("not balanced: %+v", row)
 		}
-		between(d.t, "received", row.Received, sure.received, all.received)
-		between(d.t, "served", row.Served, sure.served, all.served)
-		between(d.t, "refused", row.Refused, sure.refused, all.refused)
-		between(d.t, "failed", row.Failed, sure.failed, all.failed)
-		if complete && len(unknown) == 0 && all != sure {
+		checkBetween(d.t, "received", row.Received, lower.received, all.received)
+		checkBetween(d.t, "served", row.Served, lower.served, all.served)
+		checkBetween(d.t, "refused", row.Refused, lower.refused, all.refused)
+		checkBetween(d.t, "failed", row.Failed, lower.failed, all.failed)
+		if complete && len(unknown) == 0 && all != lower {
 			d.t.Errorf("%s %s: the report lacks something and says nothing of it", row.Organisation, row.Class)
 		}
 		if row.Served > all.executed {
@@ -216,12 +216,12 @@
 }
 
 // seen is what callers saw.
-func seen(e *entry) (received bool, ended string) { return true, e.ended }
+func observed(e *journalEntry) (received bool, ended string) { return true, e.ended }
 
 // known is the least that the report has to hold: everything of an instance that
 // runs, and of a killed one what a voter had taken, if all voters answer.
-func (d *differential) known(complete bool) func(e *entry) (received bool, ended string) {
-	return func(e *entry) (received bool, ended string) {
+func (d *differential) durable(complete bool) func(e *journalEntry) (received bool, ended string) {
+	return func(e *journalEntry) (received bool, ended string) {
 		if d.running(e.instance) != nil {
 			return true, e.ended
 		}
@@ -229,10 +229,10 @@
 	}
 }
 
-func between(t *testing.T, what string, got, least, most uint64) {
+func checkBetween(t *testing.T, what string, got, minimum, maximum uint64) {
 	t.Helper()
-	if got < least || got > most {
-		t.Errorf("%s: %d is not from %d to %d", what, got, least, most)
+	if got < minimum || got > maximum {
+		t.Errorf("%s: %d is not from %d to %d", what, got, minimum, maximum)
 	}
 }
 
@@ -240,7 +240,7 @@
 // callers and upstreams keep a journal of their own. Where the report differs
 // from the journal it must name the instance of which it doesn't know the end;
 // otherwise an operator would bill or blame by wrong numbers.
-func TestReportEqualsTheJournalOrSaysWhatIsUnknown(t *testing.T) {
+func TestReportMatchesTheJournalOrNamesUnknownInstances(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			d := &differential{
--- a/accounting/events.go
+++ b/accounting/events.go
@@ -16,5 +16,5 @@
 var dumpFailed = event.Define(4102, logrus.WarnLevel, "an instance did not answer for a report",
 	"A report was made without the present counters of this instance: it shows them as of the last copy and names the instance as unknown since then.")
 
-var joinFailed = event.Define(4103, logrus.ErrorLevel, "books could not be joined",
+var mergeFailed = event.Define(4103, logrus.ErrorLevel, "books could not be joined",
 	"The data folder refused a write of the joined counters. The voter goes on with what it has and takes no copies any more: repair or replace the disk and restart.")
--- a/accounting/fleet_test.go
+++ b/accounting/fleet_test.go
@@ -33,8 +33,8 @@
 `
 
 var (
-	testStart = time.Date(2026, 3, 1, 9, 0, 0, 0, time.UTC)
-	errCut    = errors.New("no connection")
+	testStart         = time.Date(2026, 3, 1, 9, 0, 0, 0, time.UTC)
+	errConnectionLost = errors.New("no connection")
 )
 
 // testFleet is a fleet of accounts, copiers, books and reporters, joined by the
@@ -44,7 +44,7 @@
 	tree      *settings.Tree
 	log       logrus.FieldLogger
 	folder    func() string
-	blind     bool // no control group has named any instance
+	noView    bool // no control group has named any instance
 	instances []*testInstance
 }
 
@@ -65,9 +65,9 @@
 	listener    *fasthttputil.InmemoryListener
 }
 
-type fataler interface{ Fatal(args ...any) }
+type fatalReporter interface{ Fatal(args ...any) }
 
-func newTestFleet(t fataler, folder func() string, voters, others int) *testFleet {
+func newTestFleet(t fatalReporter, folder func() string, voters, others int) *testFleet {
 	tree, err := settings.ParseTree("tree.ini", []byte(testTree))
 	if err != nil {
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 
 func (f *testFleet) view() *control.View {
 	view := &control.View{Tree: f.tree}
-	if f.blind {
+	if f.noView {
 		return view
 	}
 	for _, i := range f.instances {
@@ -133,7 +133,7 @@
 
 func (i *testInstance) address() string { return i.name + ":1" }
 
-func (i *testInstance) start(t fataler) {
+func (i *testInstance) start(t fatalReporter) {
 	i.up = true
 	i.incarnation++
 	i.handlers = map[string]control.Handler{}
@@ -184,7 +184,7 @@
 func (i *testInstance) Ask(ctx context.Context, address, command string, body []byte) ([]byte, error) {
 	other := i.fleet.at(address)
 	if other == nil {
-		return nil, errCut
+		return nil, errConnectionLost
 	}
 	return other.handlers[command](ctx, body)
 }
@@ -192,7 +192,7 @@
 func (f *testFleet) dial(_ context.Context, _, address string) (net.Conn, error) {
 	other := f.at(address)
 	if other == nil {
-		return nil, errCut
+		return nil, errConnectionLost
 	}
 	return other.listener.Dial()
 }
@@ -206,7 +206,7 @@
 // CopyLedger implements rpc.Control.
 func (s *testService) CopyLedger(_ context.Context, in *rpc.LedgerRequest) (*rpc.LedgerResponse, error) {
 	if !s.instance.up {
-		return nil, errCut
+		return nil, errConnectionLost
 	}
 	position, err := s.instance.book.Merge(in.Copy)
 	return &rpc.LedgerResponse{Stored: position}, err
--- a/accounting/gather.go
+++ b/accounting/gather.go
@@ -15,40 +15,40 @@
 )
 
 // dumpsAtOnce bounds the instances that a report asks at the same time.
-const dumpsAtOnce = 16
+const maxConcurrentDumps = 16
 
 // knowledge is what all instances together know.
-type knowledge struct {
+type fleetState struct {
 	state  *ledger.State
 	live   map[ledger.ID]bool
 	listed map[ledger.ID]bool // true: alive for the control group
 
-	missingBooks []string // voters that did not answer
+	missingVoters []string // voters that did not answer
 }
 
-func (k *knowledge) input(query ledger.Query, now time.Time) ledger.ReportInput {
+func (k *fleetState) input(query ledger.Query, now time.Time) ledger.ReportInput {
 	return ledger.ReportInput{
 		Query:        query,
 		Now:          now,
 		State:        k.state,
 		Live:         k.live,
 		Listed:       k.listed,
-		MissingBooks: k.missingBooks,
+		MissingBooks: k.missingVoters,
 	}
 }
 
 // dumpAnswer is the JSON answer of the dump command. A report asks the other
 // instances by it; what does not answer in time shows as unknown, not as zero.
 type dumpAnswer struct {
-	Own  []byte `json:"own,omitempty"`
-	Book []byte `json:"book,omitempty"`
+	Account []byte `json:"own,omitempty"`
+	Book    []byte `json:"book,omitempty"`
 }
 
 // gather asks this and all other instances that are not known to be gone.
-func (r *Reporter) gather(ctx context.Context) knowledge {
-	books := r.voters()
+func (r *Reporter) gather(ctx context.Context) fleetState {
+	missing := r.voters()
 	listed, addresses := r.listed()
-	for address := range books {
+	for address := range missing {
 		if !slices.Contains(addresses, address) {
 			addresses = append(addresses, address)
 		}
@@ -56,7 +56,7 @@
 	var mu sync.Mutex
 	var dumps []*ledger.Dump
 	var group errgroup.Group
-	group.SetLimit(dumpsAtOnce)
+	group.SetLimit(maxConcurrentDumps)
 	for _, address := range addresses {
 		group.Go(func() error {
 			dump, err := r.ask(ctx, address)
@@ -68,18 +68,18 @@
 			defer mu.Unlock()
 			dumps = append(dumps, dump)
 			if dump.Book != nil {
-				delete(books, address)
+				delete(missing, address)
 			}
 			return nil
 		})
 	}
 	_ = group.Wait() // the functions return no error
 	live := ledger.LiveOf(dumps)
-	return knowledge{
-		state:        ledger.Combine(dumps),
-		live:         live,
-		listed:       listed,
-		missingBooks: slices.Sorted(maps.Values(books)),
+	return fleetState{
+		state:         ledger.Combine(dumps),
+		live:          live,
+		listed:        listed,
+		missingVoters: slices.Sorted(maps.Values(missing)),
 	}
 }
 
@@ -135,7 +135,7 @@
 	if err := decodeBody(body, &answer); err != nil {
 		return nil, err
 	}
-	return ledger.DecodeDump(r.opts.Clock.Now(), answer.Own, answer.Book)
+	return ledger.DecodeDump(r.opts.Clock.Now(), answer.Account, answer.Book)
 }
 
 // ownDump goes through the encoding too: a report changes the state that it
@@ -145,14 +145,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return ledger.DecodeDump(r.opts.Clock.Now(), answer.Own, answer.Book)
+	return ledger.DecodeDump(r.opts.Clock.Now(), answer.Account, answer.Book)
 }
 
 func (r *Reporter) dump() (*dumpAnswer, error) {
 	answer := &dumpAnswer{}
 	var err error
 	if account := r.account.Load(); account != nil {
-		answer.Own, err = ledger.EncodeAccount(account.Take(r.opts.Clock.Now(), 0))
+		answer.Account, err = ledger.EncodeAccount(account.Snapshot(r.opts.Clock.Now(), 0))
 	}
 	if err == nil && r.opts.Book != nil {
 		answer.Book, err = r.opts.Book.Encoded()
--- a/accounting/join_test.go
+++ b/accounting/join_test.go
@@ -36,7 +36,7 @@
 	repaired.folder = f.folder()
 	f.now = f.now.Add(time.Hour)
 	repaired.start(t)
-	if !repaired.reporter.JoinBooks(context.Background()) {
+	if !repaired.reporter.MergeStores(context.Background()) {
 		t.Fatal("the other voters did not answer")
 	}
 	f.instances[1].kill()
@@ -54,13 +54,13 @@
 	}
 }
 
-func TestJoiningIsOnceAndHarmless(t *testing.T) {
+func TestMergingStoresIsIdempotent(t *testing.T) {
 	f := newFleetOf(t, 3, 1)
 	countServed(f, f.instances[3], 5)
 	f.now = f.now.Add(time.Hour)
 	for range 3 {
 		for _, voter := range f.instances[:3] {
-			voter.reporter.JoinBooks(context.Background())
+			voter.reporter.MergeStores(context.Background())
 		}
 	}
 	report := f.instances[1].reporter.Report(context.Background(), ledger.Query{})
@@ -76,7 +76,7 @@
 	f := newFleetOf(t, 3, 1)
 	countServed(f, f.instances[3], 5)
 	f.stop()
-	f.blind = true
+	f.noView = true
 	f.instances[0].start(t)
 	report := f.instances[0].reporter.Report(context.Background(), ledger.Query{})
 	if len(report.MissingBooks) != 2 || report.Total.Served != 5 {
--- a/accounting/keep_book.go
+++ b/accounting/keep_book.go
@@ -10,8 +10,8 @@
 
 // The intervals at which a voter looks at the books of the others.
 const (
-	joinRetry    = 10 * time.Second // until all have answered once
-	joinInterval = time.Hour
+	mergeRetryInterval = 10 * time.Second // until all have answered once
+	mergeInterval      = time.Hour
 )
 
 // KeepBook joins this voter's book with those of the others until the context
@@ -29,16 +29,16 @@
 			return
 		case <-timer.C:
 		}
-		next := joinRetry
-		if r.JoinBooks(ctx) {
-			next = joinInterval
+		next := mergeRetryInterval
+		if r.MergeStores(ctx) {
+			next = mergeInterval
 		}
 		timer.Reset(next)
 	}
 }
 
 // JoinBooks joins the books once, and reports whether every other voter answered.
-func (r *Reporter) JoinBooks(ctx context.Context) bool {
+func (r *Reporter) MergeStores(ctx context.Context) bool {
 	var others []*ledger.State
 	complete := true
 	for address := range r.voters() {
@@ -52,8 +52,8 @@
 		}
 		others = append(others, dump.Book)
 	}
-	if _, err := r.opts.Book.Join(r.opts.Clock.Now(), others); err != nil {
-		joinFailed.Log(r.opts.Log, event.Fields{"error": err.Error()})
+	if _, err := r.opts.Book.MergeStates(r.opts.Clock.Now(), others); err != nil {
+		mergeFailed.Log(r.opts.Log, event.Fields{"error": err.Error()})
 		return false
 	}
 	return complete
--- a/accounting/reporter.go
+++ b/accounting/reporter.go
@@ -64,8 +64,8 @@
 
 // Report makes a report over all instances.
 func (r *Reporter) Report(ctx context.Context, query ledger.Query) *ledger.Report {
-	known := r.gather(ctx)
-	return ledger.NewReport(known.input(query, r.opts.Clock.Now()))
+	fleet := r.gather(ctx)
+	return ledger.NewReport(fleet.input(query, r.opts.Clock.Now()))
 }
 
 func (r *Reporter) handleReport(ctx context.Context, body []byte) ([]byte, error) {
--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -19,9 +19,9 @@
 	"celeryport/verdict"
 )
 
-var now = time.Date(2026, 3, 3, 12, 30, 0, 0, time.UTC)
+var testNow = time.Date(2026, 3, 3, 12, 30, 0, 0, time.UTC)
 
-const tree = `
+const testTree = `
 [organisation.atelier]
 [organisation.archivio]
 [class.counter]
@@ -59,31 +59,31 @@
 	return func(a *ledger.Account, r *request.Request) { a.Failed(r, reason, verdict.MayHaveRun) }
 }
 
-var good = served(ledger.Served{InTime: true, FirstToken: time.Second / 2, IdleFirstToken: time.Second / 3})
+var goodRequest = served(ledger.Served{InTime: true, FirstToken: time.Second / 2, IdleFirstToken: time.Second / 3})
 
 // compute sends the traffic through an account and a state, as a voter sees it.
 func compute(t *testing.T, all []traffic) *Table {
 	t.Helper()
-	parsed, err := settings.ParseTree("tree.ini", []byte(tree))
+	parsed, err := settings.ParseTree("tree.ini", []byte(testTree))
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	account := ledger.NewAccount(ledger.ID{Instance: "one", Incarnation: 1}, now.Add(-100*24*time.Hour), log)
+	account := ledger.NewAccount(ledger.ID{Instance: "one", Incarnation: 1}, testNow.Add(-100*24*time.Hour), log)
 	account.Configure(parsed)
 	state := ledger.NewState()
 	var sequence uint64
 	for i, part := range all {
-		sequence = state.Apply(account.Take(now.Add(-part.ago), sequence))
+		sequence = state.Apply(account.Snapshot(testNow.Add(-part.ago), sequence))
 		for n := range part.n {
 			r := &request.Request{ID: fmt.Sprint(i, "-", n), Organisation: part.organisation, Class: "counter", Target: "sarto"}
 			account.Received(r)
 			part.end(account, r)
 		}
-		sequence = state.Apply(account.Take(now.Add(-part.ago), sequence))
+		sequence = state.Apply(account.Snapshot(testNow.Add(-part.ago), sequence))
 	}
-	return Compute(Input{Now: now, Tree: parsed, State: state})
+	return Compute(Input{Now: testNow, Tree: parsed, State: state})
 }
 
 func objectiveOf(t *testing.T, table *Table, kind Kind) *Objective {
@@ -99,7 +99,7 @@
 
 func TestRates(t *testing.T) {
 	const day = 24 * time.Hour
-	steady := traffic{ago: 2 * day, n: 900, organisation: "atelier", end: good}
+	steady := traffic{ago: 2 * day, n: 900, organisation: "atelier", end: goodRequest}
 	cases := []struct {
 		name    string
 		kind    Kind
@@ -117,7 +117,7 @@
 		},
 		{
 			"a tenth fails just now", Served,
-			[]traffic{steady, {3 * time.Minute, 90, "atelier", good}, {2 * time.Minute, 10, "archivio", failed(verdict.ReasonUpstream)}},
+			[]traffic{steady, {3 * time.Minute, 90, "atelier", goodRequest}, {2 * time.Minute, 10, "archivio", failed(verdict.ReasonUpstream)}},
 			map[time.Duration]float64{5 * time.Minute: 10, time.Hour: 10, 72 * time.Hour: 1},
 			0, 0, Page,
 		},
@@ -125,9 +125,9 @@
 			"half failed two hours ago and it was mended", Served,
 			[]traffic{
 				steady,
-				{130 * time.Minute, 50, "atelier", good},
+				{130 * time.Minute, 50, "atelier", goodRequest},
 				{130 * time.Minute, 50, "atelier", failed(verdict.ReasonTimeout)},
-				{time.Minute, 9000, "atelier", good},
+				{time.Minute, 9000, "atelier", goodRequest},
 			},
 			map[time.Duration]float64{5 * time.Minute: 0, time.Hour: 0, 2 * time.Hour: 0, 6 * time.Hour: 50.0 / 91},
 			0.5, 0.5 * 30 / (50.0 / 91), "",
@@ -140,25 +140,25 @@
 		},
 		{
 			"the fleet is full", Served,
-			[]traffic{{time.Minute, 98, "atelier", good}, {time.Minute, 2, "archivio", refused(verdict.ReasonShare)}},
+			[]traffic{{time.Minute, 98, "atelier", goodRequest}, {time.Minute, 2, "archivio", refused(verdict.ReasonShare)}},
 			map[time.Duration]float64{5 * time.Minute: 2},
 			-1, 0, Ticket,
 		},
 		{
 			"late answers", InTime,
-			[]traffic{{time.Minute, 95, "atelier", good}, {time.Minute, 5, "atelier", served(ledger.Served{FirstToken: time.Second})}},
+			[]traffic{{time.Minute, 95, "atelier", goodRequest}, {time.Minute, 5, "atelier", served(ledger.Served{FirstToken: time.Second})}},
 			map[time.Duration]float64{5 * time.Minute: 0.5},
 			0.5, 30, "",
 		},
 		{
 			"a late first token", FirstToken,
-			[]traffic{{time.Minute, 99, "atelier", good}, {time.Minute, 1, "atelier", served(ledger.Served{InTime: true, FirstToken: 2 * time.Second})}},
+			[]traffic{{time.Minute, 99, "atelier", goodRequest}, {time.Minute, 1, "atelier", served(ledger.Served{InTime: true, FirstToken: 2 * time.Second})}},
 			map[time.Duration]float64{5 * time.Minute: 0.2},
 			0.8, 0.8 * 30 / 0.2, "",
 		},
 		{
 			"slowed down behind a long prompt", Slowdown,
-			[]traffic{{time.Minute, 99, "atelier", good}, {time.Minute, 1, "atelier", served(ledger.Served{InTime: true, FirstToken: time.Second, IdleFirstToken: time.Second / 3})}},
+			[]traffic{{time.Minute, 99, "atelier", goodRequest}, {time.Minute, 1, "atelier", served(ledger.Served{InTime: true, FirstToken: time.Second, IdleFirstToken: time.Second / 3})}},
 			map[time.Duration]float64{5 * time.Minute: 0.2},
 			0.8, 0.8 * 30 / 0.2, "",
 		},
@@ -179,10 +179,10 @@
 	}
 }
 
-func checkBudget(t *testing.T, o *Objective, left, days float64) {
+func checkBudget(t *testing.T, o *Objective, budgetLeft, days float64) {
 	t.Helper()
-	if math.Abs(o.BudgetLeft-left) > 0.01 {
-		t.Errorf("budget left %g instead of %g", o.BudgetLeft, left)
+	if math.Abs(o.BudgetLeft-budgetLeft) > 0.01 {
+		t.Errorf("budget left %g instead of %g", o.BudgetLeft, budgetLeft)
 	}
 	if (o.DaysLeft == nil) != (days < 0) {
 		t.Fatalf("days left %v instead of %g", o.DaysLeft, days)
@@ -194,14 +194,14 @@
 
 func burningTable(t *testing.T) *Table {
 	return compute(t, []traffic{
-		{time.Minute, 80, "atelier", good},
+		{time.Minute, 80, "atelier", goodRequest},
 		{time.Minute, 12, "archivio", failed(verdict.ReasonUpstream)},
 		{time.Minute, 5, "atelier", refused(verdict.ReasonQueueFull)},
 		{time.Minute, 3, "<b>atelier", failed(verdict.ReasonTimeout)},
 	})
 }
 
-func TestBurnersAreOrderedByWhatTheyBurn(t *testing.T) {
+func TestBurnersAreOrderedByMissedRequests(t *testing.T) {
 	burners := objectiveOf(t, burningTable(t), Served).Burners
 	want := []Burner{
 		{"archivio", "failed: upstream", 12, 0.6},
@@ -228,7 +228,7 @@
 // The people on call open the page where there is no network but that of the
 // fleet. A script, style sheet or picture from elsewhere would leave them with an
 // empty frame.
-func TestPageNeedsNothingFromTheNetwork(t *testing.T) {
+func TestPageLoadsNoExternalResources(t *testing.T) {
 	var b bytes.Buffer
 	if err := burningTable(t).WriteHTML(&b); err != nil {
 		t.Fatal(err)
--- a/burn/burner.go
+++ b/burn/burner.go
@@ -7,7 +7,7 @@
 )
 
 // shownBurners bounds the burners that are listed.
-const shownBurners = 5
+const maxBurners = 5
 
 // burners lists who and what missed the objective, the most first.
 func burners(o *objective, series byClass) []Burner {
@@ -28,7 +28,7 @@
 		all = append(all, Burner{Organisation: k.organisation, Cause: k.cause, Bad: n, Share: float64(n) / float64(sum)})
 	}
 	slices.SortFunc(all, compareBurners)
-	return all[:min(len(all), shownBurners)]
+	return all[:min(len(all), maxBurners)]
 }
 
 // compareBurners orders by what they burn, the most first, and then by name, so
--- a/burn/fault.go
+++ b/burn/cause.go
@@ -10,7 +10,7 @@
 // organisation that sends nonsense must not use up the budget of its class, nor
 // may a limit that works as it should wake anybody. Whatever the fleet could not
 // do, a full queue or a share included, burns.
-func callersOwn(reason verdict.Reason) bool {
+func isCallerFault(reason verdict.Reason) bool {
 	switch reason {
 	case verdict.ReasonBadRequest, verdict.ReasonUnauthorized, verdict.ReasonNotFound,
 		verdict.ReasonBodyTooLarge, verdict.ReasonLimit, verdict.ReasonDuplicate,
--- a/burn/chart.go
+++ b/burn/chart.go
@@ -37,7 +37,7 @@
 	if _, err := canvas.WriteTo(&b); err != nil {
 		return "", errors.Wrap(err, "drawing a chart")
 	}
-	return inline(b.String()), nil
+	return stripXMLHeader(b.String()), nil
 }
 
 func (o *Objective) addLines(p *plot.Plot) error {
@@ -54,16 +54,16 @@
 	}
 	line.StepStyle = plotter.PostStep
 	line.Width = lineWidth
-	steady := plotter.NewFunction(func(float64) float64 { return 1 })
-	steady.Dashes = []vg.Length{dash, dash}
-	p.Add(line, steady)
+	sustainable := plotter.NewFunction(func(float64) float64 { return 1 })
+	sustainable.Dashes = []vg.Length{dash, dash}
+	p.Add(line, sustainable)
 	p.Y.Max = math.Max(p.Y.Max, 1)
 	return nil
 }
 
 // inline cuts off what stands before the svg element: a declaration of XML is
 // not allowed inside HTML. The drawing holds numbers and fixed words only.
-func inline(svg string) template.HTML {
+func stripXMLHeader(svg string) template.HTML {
 	if i := strings.Index(svg, "<svg"); i > 0 {
 		svg = svg[i:]
 	}
--- a/burn/compute.go
+++ b/burn/compute.go
@@ -37,12 +37,12 @@
 	now     time.Time
 	state   *ledger.State
 	windows map[time.Duration]byClass
-	hours   []hour
+	hours   []hourlyGrowth
 }
 
 type byClass map[string][]ledger.SeriesCopy
 
-type hour struct {
+type hourlyGrowth struct {
 	start  time.Time
 	series byClass
 }
@@ -50,7 +50,7 @@
 func newGrowth(in *Input) *growth {
 	g := &growth{now: in.Now, state: in.State, windows: map[time.Duration]byClass{}}
 	for _, cell := range in.State.Windows.Hours(in.Now) {
-		g.hours = append(g.hours, hour{start: cell.Start, series: classify(cell.Series)})
+		g.hours = append(g.hours, hourlyGrowth{start: cell.Start, series: groupByClass(cell.Series)})
 	}
 	return g
 }
@@ -59,12 +59,12 @@
 func (g *growth) within(window time.Duration) byClass {
 	if g.windows[window] == nil {
 		series, _ := g.state.Windows.Since(g.now.Add(-window), g.now)
-		g.windows[window] = classify(series)
+		g.windows[window] = groupByClass(series)
 	}
 	return g.windows[window]
 }
 
-func classify(series map[ledger.Series]*ledger.Counters) byClass {
+func groupByClass(series map[ledger.Series]*ledger.Counters) byClass {
 	all := byClass{}
 	for name, counters := range series {
 		all[name.Class] = append(all[name.Class], ledger.SeriesCopy{Series: name, Counters: *counters})
@@ -75,7 +75,7 @@
 func (b byClass) count(o *objective) count {
 	var sum count
 	for i := range b[o.class] {
-		sum = sum.plus(o.of(&b[o.class][i].Counters))
+		sum = sum.plus(o.countSeries(&b[o.class][i].Counters))
 	}
 	return sum
 }
@@ -83,18 +83,18 @@
 func (g *growth) compute(o *objective) Objective {
 	period := g.within(o.period).count(o)
 	result := Objective{
-		Class:      o.class,
-		Kind:       o.kind,
-		Goal:       o.goal,
-		Bound:      o.bound,
-		Period:     o.period,
-		Total:      period.total,
-		Bad:        period.bad,
-		BudgetLeft: 1 - o.rate(period),
-		Rates:      g.rates(o),
-		Burners:    burners(o, g.within(burnersWindow)),
-		Before:     burners(o, g.within(o.period)),
-		History:    g.history(o),
+		Class:         o.class,
+		Kind:          o.kind,
+		Goal:          o.goal,
+		Bound:         o.bound,
+		Period:        o.period,
+		Total:         period.total,
+		Bad:           period.bad,
+		BudgetLeft:    1 - o.rate(period),
+		Rates:         g.rates(o),
+		Burners:       burners(o, g.within(burnersWindow)),
+		PeriodBurners: burners(o, g.within(o.period)),
+		History:       g.history(o),
 	}
 	result.Alerts = alerts(result.Rates)
 	result.DaysLeft = daysLeft(&result)
@@ -145,13 +145,13 @@
 // daysLeft assumes that as many requests come as over the period so far.
 func daysLeft(o *Objective) *float64 {
 	rate := rateOf(o.Rates, rateWindow)
-	left := max(0, o.BudgetLeft)
-	if rate <= 0 && left > 0 {
+	budgetLeft := max(0, o.BudgetLeft)
+	if rate <= 0 && budgetLeft > 0 {
 		return nil
 	}
 	days := 0.0
-	if left > 0 {
-		days = left * o.Period.Hours() / hoursPerDay / rate
+	if budgetLeft > 0 {
+		days = budgetLeft * o.Period.Hours() / hoursPerDay / rate
 	}
 	return &days
 }
--- a/burn/html.go
+++ b/burn/html.go
@@ -37,12 +37,12 @@
 // WriteHTML writes a page that needs nothing from the network: charts are inline
 // drawings, and there are no scripts.
 func (t *Table) WriteHTML(w io.Writer) error {
-	data := pageData{Table: t, At: t.At.UTC().Format(timeForm)}
+	data := pageData{Table: t, At: t.At.UTC().Format(timeFormat)}
 	for _, window := range windows {
 		data.Windows = append(data.Windows, shortWindow(window))
 	}
-	for _, shown := range t.shown() {
-		o, err := newPageObjective(shown)
+	for _, active := range t.active() {
+		o, err := newPageObjective(active)
 		if err != nil {
 			return err
 		}
@@ -52,7 +52,7 @@
 }
 
 func newPageObjective(o *Objective) (pageObjective, error) {
-	p := pageObjective{Objective: o, Title: o.title(), Lasts: o.lasts(), Action: o.action()}
+	p := pageObjective{Objective: o, Title: o.title(), Lasts: o.timeLeft(), Action: o.action()}
 	for i := range o.Rates {
 		p.Rates = append(p.Rates, o.Rates[i].text())
 	}
--- a/burn/objective.go
+++ b/burn/objective.go
@@ -65,7 +65,7 @@
 }
 
 // of counts one series for the objective.
-func (o *objective) of(c *ledger.Counters) count {
+func (o *objective) countSeries(c *ledger.Counters) count {
 	var sum count
 	for i, f := range c.Fields {
 		isTotal, isBad := o.kind.counts(f)
@@ -88,11 +88,11 @@
 	case ledger.KindLate:
 		return false, k == InTime
 	case ledger.KindRefused:
-		burns := k == Served && !callersOwn(f.Reason())
-		return burns, burns
+		missed := k == Served && !isCallerFault(f.Reason())
+		return missed, missed
 	case ledger.KindFailed:
-		burns := (k == Served || k == InTime) && !callersOwn(f.Reason())
-		return burns, burns
+		missed := (k == Served || k == InTime) && !isCallerFault(f.Reason())
+		return missed, missed
 	case ledger.KindFirstTokenMet:
 		return k == FirstToken, false
 	case ledger.KindFirstTokenMissed:
--- a/burn/table.go
+++ b/burn/table.go
@@ -28,10 +28,10 @@
 	Alerts     []Alert       `json:"alerts,omitempty"`
 	// DaysLeft is how long the budget lasts at the rate of the last six hours;
 	// nil: for ever.
-	DaysLeft *float64 `json:"days_left"`
-	Burners  []Burner `json:"burners,omitempty"`        // of the last hour
-	Before   []Burner `json:"burners_period,omitempty"` // of the period
-	History  []Point  `json:"history,omitempty"`        // by the hour
+	DaysLeft      *float64 `json:"days_left"`
+	Burners       []Burner `json:"burners,omitempty"`        // of the last hour
+	PeriodBurners []Burner `json:"burners_period,omitempty"` // of the period
+	History       []Point  `json:"history,omitempty"`        // by the hour
 }
 
 // Rate is how fast the budget burns over a window: 1 spends it exactly within
--- a/burn/text.go
+++ b/burn/text.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	barWidth = 10
-	padding  = 2
-	timeForm = "2006-01-02 15:04:05 MST"
+	barWidth   = 10
+	padding    = 2
+	timeFormat = "2006-01-02 15:04:05 MST"
 )
 
 // WriteText writes the table for a terminal.
 func (t *Table) WriteText(w io.Writer) error {
 	out := tabwriter.NewWriter(w, 0, 0, padding, ' ', 0)
-	lines := []string{"burn at " + t.At.UTC().Format(timeForm), "", heading()}
-	for _, o := range t.shown() {
+	lines := []string{"burn at " + t.At.UTC().Format(timeFormat), "", heading()}
+	for _, o := range t.active() {
 		lines = append(lines, o.line())
 	}
 	lines = append(lines, "")
 	lines = append(lines, t.burnerLines()...)
-	lines = append(lines, t.notes()...)
+	lines = append(lines, t.footnotes()...)
 	_, err := fmt.Fprintln(out, strings.Join(lines, "\n"))
 	return errors.CombineErrors(err, out.Flush())
 }
 
 // shown are the objectives that any request was about; a class of service calls
 // has no first tokens.
-func (t *Table) shown() []*Objective {
-	var shown []*Objective
+func (t *Table) active() []*Objective {
+	var active []*Objective
 	for i := range t.Objectives {
 		if t.Objectives[i].Total > 0 {
-			shown = append(shown, &t.Objectives[i])
+			active = append(active, &t.Objectives[i])
 		}
 	}
-	return shown
+	return active
 }
 
 func heading() string {
@@ -53,7 +53,7 @@
 func (o *Objective) line() string {
 	cells := []string{
 		o.Class, o.title(), percent(o.Goal), fmt.Sprint(o.Total), fmt.Sprint(o.Bad),
-		bar(o.BudgetLeft) + " " + rounded(o.BudgetLeft), o.lasts(),
+		bar(o.BudgetLeft) + " " + rounded(o.BudgetLeft), o.timeLeft(),
 	}
 	for _, r := range o.Rates {
 		cells = append(cells, r.text())
@@ -76,7 +76,7 @@
 	return fmt.Sprintf("%.1f", r.Rate)
 }
 
-func (o *Objective) lasts() string {
+func (o *Objective) timeLeft() string {
 	switch {
 	case o.DaysLeft == nil:
 		return "for ever"
@@ -117,18 +117,18 @@
 	return append(head, lines...)
 }
 
-func (t *Table) notes() []string {
-	var notes []string
-	if hidden := len(t.Objectives) - len(t.shown()); hidden > 0 {
-		notes = append(notes, fmt.Sprintf("objectives without any request, left out: %d", hidden))
+func (t *Table) footnotes() []string {
+	var footnotes []string
+	if hidden := len(t.Objectives) - len(t.active()); hidden > 0 {
+		footnotes = append(footnotes, fmt.Sprintf("objectives without any request, left out: %d", hidden))
 	}
 	if t.Unplaced > 0 {
-		notes = append(notes, fmt.Sprintf("not in any window: %d requests that were learned too late to place in time", t.Unplaced))
+		footnotes = append(footnotes, fmt.Sprintf("not in any window: %d requests that were learned too late to place in time", t.Unplaced))
 	}
 	if t.UnknownInstances > 0 {
-		notes = append(notes, fmt.Sprintf("instances of which the end is unknown: %d, see celeryport report", t.UnknownInstances))
+		footnotes = append(footnotes, fmt.Sprintf("instances of which the end is unknown: %d, see celeryport report", t.UnknownInstances))
 	}
-	return notes
+	return footnotes
 }
 
 // bar draws a fraction; more than all and less than nothing are cut off.
--- a/ledger/account.go
+++ b/ledger/account.go
@@ -13,8 +13,8 @@
 	"celeryport/verdict"
 )
 
-// shards divide the lock of an account, so that traffic goroutines rarely wait
-// for each other.
+// shards is the number of locks that an account is divided into, to reduce lock
+// contention between request goroutines.
 const shards = 32
 
 // Account counts the requests of one incarnation of one instance. It implements
@@ -24,41 +24,41 @@
 	started time.Time
 	log     logrus.FieldLogger
 	names   atomic.Pointer[Names]
-	tree    func() *settings.Tree // nil: only Configure
+	tree    func() *settings.Tree // nil: names change only through Configure
 	seed    maphash.Seed
 
-	// epoch numbers the copies: whatever changes is marked with the present
-	// epoch, and each copy ends one.
+	// epoch is incremented by each copy. Every change of a counter is marked with
+	// the epoch in which it was made.
 	epoch  atomic.Uint64
 	closed atomic.Bool
 
-	open     [shards]openRequests
-	counting [shards]countedSeries
+	open         [shards]openRequests
+	seriesShards [shards]seriesShard
 }
 
-// NewAccount returns an empty account. It counts everything as Other until
-// Configure gives it the names of a settings tree.
+// NewAccount returns an empty account. It counts every request under Other until
+// Configure installs the names of a settings tree.
 func NewAccount(id ID, started time.Time, log logrus.FieldLogger) *Account {
 	a := &Account{id: id, started: started, log: log, seed: maphash.MakeSeed()}
 	a.epoch.Store(1)
 	for i := range shards {
 		a.open[i].series = map[string]*trackedSeries{}
-		a.counting[i].series = map[Series]*trackedSeries{}
+		a.seriesShards[i].series = map[Series]*trackedSeries{}
 	}
 	return a
 }
 
 // Configure installs the names and objectives of a settings tree. Requests in
-// flight go on counting for the series in which they were received.
+// flight stay in the series under which they were received.
 func (a *Account) Configure(tree *settings.Tree) { a.names.Store(NewNames(tree)) }
 
-// Follow makes the account look at the tree in force at each request, so that
-// no request of a new organisation counts as Other. It is called before the
-// first request.
+// Follow makes the account read the current settings tree at each request, so
+// that requests of a newly added organisation are not counted under Other. It
+// must be called before the first request.
 func (a *Account) Follow(tree func() *settings.Tree) { a.tree = tree }
 
-// present returns the names of the tree in force.
-func (a *Account) present() *Names {
+// currentNames returns the names of the current settings tree.
+func (a *Account) currentNames() *Names {
 	names := a.names.Load()
 	if a.tree == nil {
 		return names
@@ -72,13 +72,13 @@
 	return names
 }
 
-// Close says that nothing more will be counted: a copy taken afterwards is the
-// last one, and nothing of this incarnation is unknown.
+// Close marks the account as complete. A copy made afterwards is final, and
+// reports do not list this incarnation as unknown.
 func (a *Account) Close() { a.closed.Store(true) }
 
 // Received implements Recorder.
 func (a *Account) Received(r *request.Request) {
-	s := a.tracked(a.present().Series(r))
+	s := a.seriesFor(a.currentNames().Series(r))
 	if !a.openShard(r.ID).put(r.ID, s) {
 		a.misuse(r, "received twice")
 		return
@@ -92,7 +92,7 @@
 	if s == nil {
 		return
 	}
-	objectives := a.present().objectives(s.name.Class)
+	objectives := a.currentNames().objectives(s.name.Class)
 	s.update(&a.epoch, func(t *trackedSeries) { t.addServed(r, served, objectives) })
 }
 
@@ -114,9 +114,10 @@
 	s.update(&a.epoch, func(t *trackedSeries) { t.add(failedField(reason, v), 1) })
 }
 
-// end returns the series in which the request was received, once. The names may
-// have changed since: if the end counted for another series than the start, one
-// would show a request in flight for ever and the other a negative number.
+// end removes an open request and returns the series under which it was received,
+// or nil if the request is not open. The end must be counted in that series even
+// if the names have changed since; otherwise one series would show a request in
+// flight forever and another a negative number of them.
 func (a *Account) end(r *request.Request, misuse string) *trackedSeries {
 	s := a.openShard(r.ID).take(r.ID)
 	if s == nil {
@@ -125,14 +126,14 @@
 	return s
 }
 
-func (a *Account) misuse(r *request.Request, what string) {
-	outOfOrder.Log(a.log, event.Fields{"request": r.ID, "what": what})
+func (a *Account) misuse(r *request.Request, violation string) {
+	outOfOrder.Log(a.log, event.Fields{"request": r.ID, "what": violation})
 }
 
 func (a *Account) openShard(id string) *openRequests {
 	return &a.open[maphash.String(a.seed, id)%shards]
 }
 
-func (a *Account) tracked(name Series) *trackedSeries {
-	return a.counting[maphash.Comparable(a.seed, name)%shards].get(name)
+func (a *Account) seriesFor(name Series) *trackedSeries {
+	return a.seriesShards[maphash.Comparable(a.seed, name)%shards].get(name)
 }
--- a/ledger/account_copy.go
+++ b/ledger/account_copy.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Source is what control copies to the voters: for each voter it keeps the
-// position that the voter returned last, and hands it in for the next copy.
+// Source provides the copies that are sent to the voters. The caller stores the
+// position that each voter returned last and passes it to the next Copy.
 type Source interface {
-	// Copy returns the encoded copy of what changed since a position, and the
-	// position of a voter that took it in; an empty position stands for a voter
-	// that has nothing. Positions of one account compare as byte strings.
+	// Copy returns an encoded copy of the changes since a position, and the
+	// position of a voter that has applied it. An empty position stands for a
+	// voter without any copy. Positions of one account compare as byte strings.
 	Copy(now time.Time, position []byte) (encoded, upTo []byte, err error)
 }
 
@@ -20,18 +20,19 @@
 	if p.incarnation != a.id.Incarnation {
 		p.sequence = 0
 	}
-	c := a.Take(now, p.sequence)
+	c := a.Snapshot(now, p.sequence)
 	encoded, err = encode(c)
 	return encoded, position{incarnation: a.id.Incarnation, sequence: c.To}.encode(), err
 }
 
-// Take returns what changed after a sequence number, in a fixed order.
-func (a *Account) Take(now time.Time, from uint64) *Copy {
+// Snapshot returns the counters that changed after a sequence number, in a fixed
+// order.
+func (a *Account) Snapshot(now time.Time, from uint64) *Copy {
 	closed := a.closed.Load()
 	ended := a.epoch.Add(1) - 1
 	c := &Copy{ID: a.id, From: min(from, ended), To: ended, Started: a.started, At: now}
-	for i := range a.counting {
-		for _, s := range a.counting[i].all() {
+	for i := range a.seriesShards {
+		for _, s := range a.seriesShards[i].all() {
 			changed := s.changedSince(c.From)
 			if len(changed.Fields) > 0 {
 				c.Series = append(c.Series, SeriesCopy{Series: s.name, Counters: changed})
--- a/ledger/account_shard.go
+++ b/ledger/account_shard.go
@@ -10,7 +10,7 @@
 	"celeryport/settings"
 )
 
-// openRequests are requests that were received and have not ended.
+// openRequests is one shard of the requests that were received and have not ended.
 type openRequests struct {
 	mu     sync.Mutex
 	series map[string]*trackedSeries // by request id
@@ -19,7 +19,7 @@
 func (o *openRequests) put(id string, s *trackedSeries) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if _, there := o.series[id]; there {
+	if _, exists := o.series[id]; exists {
 		return false
 	}
 	o.series[id] = s
@@ -34,13 +34,13 @@
 	return s
 }
 
-// countedSeries are some of the series of an account.
-type countedSeries struct {
+// seriesShard is one shard of the series of an account.
+type seriesShard struct {
 	mu     sync.Mutex
 	series map[Series]*trackedSeries
 }
 
-func (c *countedSeries) get(name Series) *trackedSeries {
+func (c *seriesShard) get(name Series) *trackedSeries {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.series[name]
@@ -51,7 +51,7 @@
 	return s
 }
 
-func (c *countedSeries) all() []*trackedSeries {
+func (c *seriesShard) all() []*trackedSeries {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := make([]*trackedSeries, 0, len(c.series))
@@ -61,19 +61,20 @@
 	return all
 }
 
-// trackedSeries are counters that remember when each of them last changed.
+// trackedSeries holds the counters of one series together with the epoch of the
+// last change of each counter.
 type trackedSeries struct {
 	name Series
 
 	mu       sync.Mutex
 	counters Counters
 	changed  []uint64 // epoch of the last change of each counter
-	epoch    uint64   // of the change under way
+	epoch    uint64   // of the change in progress
 }
 
-// update makes one change under the lock. The epoch is read under the lock: a
-// copy first ends the epoch and then takes the lock, so a change that it does
-// not see carries the next one and is in the next copy.
+// update makes one change under the lock. The epoch has to be read under the lock
+// too: a copy first ends the epoch and then acquires the lock, so a change that
+// this copy misses is marked with the next epoch and is part of the next copy.
 func (t *trackedSeries) update(epoch *atomic.Uint64, change func(*trackedSeries)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,22 +116,22 @@
 	t.add(plainField(KindCachedTokens), uint64(max(0, s.CachedTokens)))
 }
 
-// leastIdle is the least time to the first token that a slowdown is measured
-// against. Below it the network and the callers' own distance are most of the
-// time, and a cached prompt would count as slowed down on an idle fleet.
-const leastIdle = 25 * time.Millisecond
+// minIdleFirstToken is the lower bound of the idle time to the first token that a
+// slowdown is measured against. Below it, network latency dominates, and a cached
+// prompt would count as slowed down on an idle fleet.
+const minIdleFirstToken = 25 * time.Millisecond
 
 func (t *trackedSeries) addObjectives(s Served, o settings.Objectives) {
 	if o.FirstToken > 0 {
-		t.addEither(s.FirstToken <= o.FirstToken, KindFirstTokenMet, KindFirstTokenMissed)
+		t.addOutcome(s.FirstToken <= o.FirstToken, KindFirstTokenMet, KindFirstTokenMissed)
 	}
 	if o.SlowdownBound > 0 && s.IdleFirstToken > 0 {
-		bound := time.Duration(o.SlowdownBound * float64(max(s.IdleFirstToken, leastIdle)))
-		t.addEither(s.FirstToken <= bound, KindSlowdownMet, KindSlowdownMissed)
+		bound := time.Duration(o.SlowdownBound * float64(max(s.IdleFirstToken, minIdleFirstToken)))
+		t.addOutcome(s.FirstToken <= bound, KindSlowdownMet, KindSlowdownMissed)
 	}
 }
 
-func (t *trackedSeries) addEither(met bool, yes, no FieldKind) {
+func (t *trackedSeries) addOutcome(met bool, yes, no FieldKind) {
 	if met {
 		t.add(plainField(yes), 1)
 		return
@@ -138,7 +139,7 @@
 	t.add(plainField(no), 1)
 }
 
-// changedSince returns the counters that changed after an epoch.
+// changedSince returns the counters that were changed after an epoch.
 func (t *trackedSeries) changedSince(epoch uint64) Counters {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/ledger/apply_bench_test.go
+++ b/ledger/apply_bench_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// BenchmarkApply gives the processor time of taking in the copies of 160
-// requests of one instance, without decoding and syncing.
+// BenchmarkApply measures the CPU time for applying copies with 160 requests of one
+// instance each, without decoding and syncing.
 func BenchmarkApply(b *testing.B) {
 	const organisations, requests = 260, 160
-	account := NewAccount(ID{"instance-1", 1}, testStart, silent())
+	account := NewAccount(ID{"instance-1", 1}, testStart, discardLogger())
 	account.Configure(wideTree(b, organisations))
 	state := NewState()
 	next, sequence := 0, uint64(0)
@@ -14,7 +14,7 @@
 		b.StopTimer()
 		serveWide(account, next, requests, organisations)
 		next += requests
-		c := account.Take(testStart, sequence)
+		c := account.Snapshot(testStart, sequence)
 		b.StartTimer()
 		sequence = state.Apply(c)
 	}
--- a/ledger/book.go
+++ b/ledger/book.go
@@ -11,15 +11,15 @@
 	"celeryport/wal"
 )
 
-// rewriteFactor is how much larger than the state the log may grow before it is
-// replaced by the state; rewriteLeast keeps small logs from it.
+// The log is replaced by the state once it has grown to rewriteFactor times the
+// size of the state and to at least rewriteMinBytes.
 const (
-	rewriteFactor = 4
-	rewriteLeast  = 4 << 20
+	rewriteFactor   = 4
+	rewriteMinBytes = 4 << 20
 )
 
-// Book keeps the accounts of all instances on a voter. It implements Store and
-// is safe for concurrent use.
+// Book stores the accounts of all instances durably on a voter. It implements
+// Store and is safe for concurrent use.
 type Book struct {
 	log   logrus.FieldLogger
 	clock clock.Clock
@@ -31,7 +31,7 @@
 	rewritten int64 // bytes of the state at the last rewrite
 }
 
-// OpenBook opens the book in a folder of its own under the data folder.
+// OpenBook opens the store in its own folder under the data folder.
 func OpenBook(folder string, fs wal.FS, log logrus.FieldLogger, c clock.Clock) (*Book, error) {
 	records, content, err := wal.OpenRecords(folder, fs, wal.Options{Logger: log})
 	if err != nil {
@@ -41,23 +41,23 @@
 	if err != nil {
 		return nil, errors.CombineErrors(errors.Wrap(err, "reading the ledger"), records.Close())
 	}
-	bookOpened.Log(log, event.Fields{"folder": folder, "incarnations": len(state.Incarnations)})
+	storeOpened.Log(log, event.Fields{"folder": folder, "incarnations": len(state.Incarnations)})
 	return &Book{log: log, clock: c, state: state, records: records}, nil
 }
 
-// Merge implements Store. The copy is synced before it is applied: the instance
-// forgets what a returned position covers.
+// Merge implements Store. The copy is synced to disk before it is applied, because
+// the instance does not send again what the returned position covers.
 func (b *Book) Merge(encodedCopy []byte) ([]byte, error) {
 	c, err := decodeCopy(encodedCopy)
 	if err != nil {
 		return nil, err
 	}
-	if encodedCopy, err = b.corrected(c, encodedCopy); err != nil {
+	if encodedCopy, err = b.withCorrectedClock(c, encodedCopy); err != nil {
 		return nil, err
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if err := b.keep(c, encodedCopy); err != nil {
+	if err := b.persist(c, encodedCopy); err != nil {
 		return nil, err
 	}
 	sequence := b.state.Apply(c)
@@ -67,8 +67,9 @@
 	return position{incarnation: c.ID.Incarnation, sequence: sequence}.encode(), nil
 }
 
-// corrected returns the copy as it is to be written, with a time that fits.
-func (b *Book) corrected(c *Copy, encodedCopy []byte) ([]byte, error) {
+// withCorrectedClock returns the encoded copy to be stored, in which a time that
+// differs too much from the voter's clock is replaced.
+func (b *Book) withCorrectedClock(c *Copy, encodedCopy []byte) ([]byte, error) {
 	sentAt := c.At
 	if !c.correctClock(b.clock.Now()) {
 		return encodedCopy, nil
@@ -77,11 +78,11 @@
 	return encode(c)
 }
 
-// keep syncs a copy. One that changes nothing but the time is not worth a sync:
-// after a restart the voter asks for it again. The first of an incarnation is
-// kept in any case: if the instance is killed before the next one, the report
-// would otherwise not even say that it existed.
-func (b *Book) keep(c *Copy, encodedCopy []byte) error {
+// persist syncs a copy to disk. A copy that changes nothing but the time is
+// skipped, since the voter requests it again after a restart. The first copy of an
+// incarnation is always stored: if the instance is killed before the next copy,
+// the report would otherwise not list it at all.
+func (b *Book) persist(c *Copy, encodedCopy []byte) error {
 	isNew := b.state.Incarnations[c.ID] == nil
 	if !b.state.Applies(c) || (len(c.Series) == 0 && !c.Final && !isNew) {
 		return nil
@@ -94,10 +95,10 @@
 	return nil
 }
 
-// rewriteIfLarge comes after the newest copy is applied: the log that the state
-// replaces holds that copy too.
+// rewriteIfLarge replaces a large log by the state. It must be called after the
+// newest copy has been applied, because the replaced log holds that copy too.
 func (b *Book) rewriteIfLarge() error {
-	if b.appended < max(rewriteLeast, rewriteFactor*b.rewritten) {
+	if b.appended < max(rewriteMinBytes, rewriteFactor*b.rewritten) {
 		return nil
 	}
 	b.state.Trim(b.clock.Now())
@@ -108,20 +109,20 @@
 	if err := b.records.Rewrite([][]byte{record}); err != nil {
 		return errors.Wrap(err, "rewriting the ledger")
 	}
-	bookRewritten.Log(b.log, event.Fields{"bytes_before": b.appended, "bytes_after": len(record)})
+	logRewritten.Log(b.log, event.Fields{"bytes_before": b.appended, "bytes_after": len(record)})
 	b.rewritten = int64(len(record))
 	b.appended = 0
 	return nil
 }
 
-// Encoded returns the whole state, for a report on another instance.
+// Encoded returns the encoded state, for a report that another instance builds.
 func (b *Book) Encoded() ([]byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return encode(b.state)
 }
 
-// Close releases the folder.
+// Close closes the log.
 func (b *Book) Close() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/ledger/book_join.go
+++ b/ledger/book_join.go
@@ -8,44 +8,45 @@
 	"celeryport/event"
 )
 
-// Join takes over what other books know better, and reports whether there was
-// anything. A voter that lost its disk has only the accounts of the instances
-// that run; if the voters that still know the ended ones are lost next, nobody
-// can report those any more.
-func (b *Book) Join(now time.Time, others []*State) (bool, error) {
+// MergeStates merges the states of other voters into this one and reports whether
+// they held anything newer. A voter that lost its disk has only the accounts of
+// running instances; if the voters that still hold the accounts of ended instances
+// were lost next, those accounts could no longer be reported.
+func (b *Book) MergeStates(now time.Time, others []*State) (bool, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.lacks(now, others) {
+	if !b.isBehind(now, others) {
 		return false, nil
 	}
-	own, err := b.copyOfState()
+	ownState, err := b.cloneState()
 	if err != nil {
 		return false, err
 	}
-	joined := Combine(append(booksOf(others), &Dump{Book: own}))
-	record, err := stateRecord(joined)
+	merged := Combine(append(dumpsOf(others), &Dump{Book: ownState}))
+	record, err := stateRecord(merged)
 	if err != nil {
 		return false, err
 	}
 	if err := b.records.Rewrite([][]byte{record}); err != nil {
-		return false, errors.Wrap(err, "joining ledgers")
+		return false, errors.Wrap(err, "merging ledgers of other voters")
 	}
-	bookJoined.Log(b.log, event.Fields{
-		"incarnations_before": len(b.state.Incarnations), "incarnations_after": len(joined.Incarnations),
+	statesMerged.Log(b.log, event.Fields{
+		"incarnations_before": len(b.state.Incarnations), "incarnations_after": len(merged.Incarnations),
 	})
-	b.state, b.rewritten, b.appended = joined, int64(len(record)), 0
+	b.state, b.rewritten, b.appended = merged, int64(len(record)), 0
 	return true, nil
 }
 
-// settledFor is the age of its last copy from which an incarnation counts as
-// ended. The running ones copy to this voter themselves, every few seconds.
-const settledFor = time.Minute
+// endedAfter is the age of the last copy from which an incarnation is considered
+// to have ended. Running instances send a copy to this voter every few seconds.
+const endedAfter = time.Minute
 
-// lacks reports whether any other book has more of an incarnation that has ended.
-func (b *Book) lacks(now time.Time, others []*State) bool {
+// isBehind reports whether any other state holds newer counters of an incarnation
+// that has ended.
+func (b *Book) isBehind(now time.Time, others []*State) bool {
 	for _, other := range others {
-		for id, known := range other.Incarnations {
-			if known.Sequence > b.state.sequence(id) && now.Sub(known.At) > settledFor {
+		for id, inc := range other.Incarnations {
+			if inc.Sequence > b.state.sequence(id) && now.Sub(inc.At) > endedAfter {
 				return true
 			}
 		}
@@ -53,7 +54,7 @@
 	return false
 }
 
-func (b *Book) copyOfState() (*State, error) {
+func (b *Book) cloneState() (*State, error) {
 	encoded, err := encode(b.state)
 	if err != nil {
 		return nil, err
@@ -61,7 +62,7 @@
 	return decodeState(encoded)
 }
 
-func booksOf(states []*State) []*Dump {
+func dumpsOf(states []*State) []*Dump {
 	dumps := make([]*Dump, 0, len(states)+1)
 	for _, state := range states {
 		dumps = append(dumps, &Dump{Book: state})
--- a/ledger/book_test.go
+++ b/ledger/book_test.go
@@ -19,7 +19,7 @@
 
 func openBook(t *testing.T, folder string, fs wal.FS) *Book {
 	t.Helper()
-	book, err := OpenBook(folder, fs, silent(), fixedClock{testStart})
+	book, err := OpenBook(folder, fs, discardLogger(), fixedClock{testStart})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,10 +55,9 @@
 	return report.Total.Served
 }
 
-// All processes restart one after the other. If the voter kept its counters only
-// in memory, or read its log twice, the report would show too little or too much
-// afterwards.
-func TestBookSurvivesRestarts(t *testing.T) {
+// A voter restarts repeatedly. The report would lack requests if the voter kept its
+// counters only in memory, and show too many if it replayed its log twice.
+func TestCountersSurviveRestarts(t *testing.T) {
 	folder := t.TempDir()
 	book := openBook(t, folder, wal.OS{})
 	account := testAccount(t, ID{"one", 1}, testStart)
@@ -83,10 +82,10 @@
 	}
 }
 
-// The log of a book is replaced by its state while copies go on arriving. The
-// copy whose arrival caused it is in neither if the order is wrong: its instance
-// has forgotten it, and the report stays short for ever.
-func TestBookRewritesItsLogWithoutLosingTheNewestCopy(t *testing.T) {
+// The log is replaced by the state while copies keep arriving. If the log were
+// rewritten before the newest copy is applied, that copy would be lost: its instance
+// does not send it again, and the report would lack its requests permanently.
+func TestLogRewriteKeepsTheNewestCopy(t *testing.T) {
 	folder := t.TempDir()
 	book := openBook(t, folder, wal.OS{})
 	account := testAccount(t, ID{"one", 1}, testStart)
@@ -95,8 +94,8 @@
 		serveMany(account, total, 1000)
 		total += 1000
 		position = copyTo(t, account, book, position, testStart)
-		for range 50 { // a voter that always lost its answer is sent everything again
-			book.appended += rewriteLeast / 1000
+		for range 50 { // as if lost answers had made the instance send everything again
+			book.appended += rewriteMinBytes / 1000
 		}
 	}
 	if err := book.Close(); err != nil {
@@ -107,40 +106,41 @@
 		t.Fatalf("%d of %d served after the rewrite", got, total)
 	}
 	if again := copyTo(t, account, book, position, testStart); string(again) == string(position) {
-		t.Error("the book does not follow the account any more")
+		t.Error("the store no longer applies copies of the account")
 	}
 }
 
-// brokenDisk fails every sync once it is full.
-type brokenDisk struct {
+// fullDisk fails every sync once it is full.
+type fullDisk struct {
 	wal.OS
 	full *bool
 }
 
-type brokenFile struct {
+type fullDiskFile struct {
 	wal.File
 	full *bool
 }
 
 var errFull = errors.New("no space left")
 
-func (d brokenDisk) Append(name string) (wal.File, error) {
+func (d fullDisk) Append(name string) (wal.File, error) {
 	f, err := d.OS.Append(name)
-	return brokenFile{f, d.full}, err
+	return fullDiskFile{f, d.full}, err
 }
 
-func (f brokenFile) Sync() error {
+func (f fullDiskFile) Sync() error {
 	if *f.full {
 		return errFull
 	}
 	return f.File.Sync()
 }
 
-// A voter's disk is full. If it acknowledged a copy all the same, the instance
-// would drop what the voter forgets at its next start.
-func TestBookAcknowledgesNothingThatIsNotSynced(t *testing.T) {
+// The disk of a voter is full. If the voter acknowledged a copy that is not synced,
+// the instance would not send it again, and its counters would be lost at the next
+// restart of the voter.
+func TestMergeAcknowledgesOnlySyncedCopies(t *testing.T) {
 	full := false
-	book := openBook(t, t.TempDir(), brokenDisk{full: &full})
+	book := openBook(t, t.TempDir(), fullDisk{full: &full})
 	account := testAccount(t, ID{"one", 1}, testStart)
 	serveMany(account, 0, 1)
 	position := copyTo(t, account, book, nil, testStart)
@@ -154,11 +154,11 @@
 		t.Fatalf("acknowledged %x", position)
 	}
 	if got := servedIn(book); got != 1 {
-		t.Errorf("%d served are shown, 1 is synced", got)
+		t.Errorf("the report shows %d served requests, 1 is synced", got)
 	}
 }
 
-func TestBookRefusesWhatIsNoCopy(t *testing.T) {
+func TestMergeRejectsMalformedCopies(t *testing.T) {
 	book := openBook(t, t.TempDir(), wal.OS{})
 	unsorted := Copy{ID: ID{"one", 1}, To: 1, Series: []SeriesCopy{{Counters: Counters{
 		Fields: []Field{9, 3}, Values: []uint64{1, 1},
@@ -171,7 +171,7 @@
 			t.Fatal(err)
 		}
 		if _, err := book.Merge(encoded); err == nil {
-			t.Errorf("%+v was taken", c)
+			t.Errorf("%+v was accepted", c)
 		}
 	}
 }
--- a/ledger/copy.go
+++ b/ledger/copy.go
@@ -6,26 +6,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Copy carries what changed in one account after From and up to To: the
-// cumulative values, not differences, so that a doubled, late or reordered copy
-// does no harm. From 0 it carries the whole account.
+// Copy holds the counters of one account that changed after From and up to To.
+// The values are cumulative rather than differences, so duplicated, delayed and
+// reordered copies have no effect. A copy from 0 holds the whole account.
 type Copy struct {
 	ID      ID
 	From    uint64
 	To      uint64
-	Started time.Time // of the account
-	At      time.Time // when the copy was taken
-	Final   bool      // the instance ended gracefully, nothing follows
+	Started time.Time // start of the account
+	At      time.Time // time of the copy
+	Final   bool      // the instance shut down gracefully; no copy follows
 	Series  []SeriesCopy
 }
 
-// SeriesCopy carries the changed counters of one series.
+// SeriesCopy holds the changed counters of one series.
 type SeriesCopy struct {
 	Series   Series
 	Counters Counters
 }
 
-// errMalformed is returned for a copy that no account can have made.
+// errMalformed is returned for a copy that no account can have produced.
 var errMalformed = errors.New("malformed copy of a ledger")
 
 func decodeCopy(encoded []byte) (*Copy, error) {
--- a/ledger/dump.go
+++ b/ledger/dump.go
@@ -1,19 +1,20 @@
 package ledger
 
-// Dump is what one instance knows: its own account, and on a voter the book.
+// Dump holds the counters that one instance contributes to a report: its own
+// account and, on a voter, the state of its store.
 type Dump struct {
-	Own  *Copy  // whole account, nil from an instance that keeps none
-	Book *State // nil from an instance that is no voter
+	Own  *Copy  // whole account, nil if the instance keeps none
+	Book *State // nil unless the instance is a voter
 }
 
-// Combine merges the dumps of several instances into one state. It starts from
-// the book that places most in time and takes in everything else as copies, so
-// nothing is counted twice.
+// Combine merges the dumps of several instances into one state. It starts from the
+// voter's state that places the most requests in time and applies all others as
+// copies, so no request is counted twice.
 func Combine(dumps []*Dump) *State {
-	state := bestBook(dumps)
+	state := mostCompleteState(dumps)
 	for _, d := range dumps {
 		if d.Book != nil && d.Book != state {
-			state.absorb(d.Book)
+			state.merge(d.Book)
 		}
 	}
 	for _, d := range dumps {
@@ -24,39 +25,39 @@
 	return state
 }
 
-// absorb takes in what another book knows better.
-func (s *State) absorb(other *State) {
-	s.noteDropped(other.DroppedUpTo)
+// merge applies everything that is newer in another state.
+func (s *State) merge(other *State) {
+	s.recordDropped(other.DroppedUpTo)
 	for _, c := range other.Copies() {
 		s.Apply(c)
 	}
 }
 
-func bestBook(dumps []*Dump) *State {
-	var best *State
+func mostCompleteState(dumps []*Dump) *State {
+	var mostComplete *State
 	for _, d := range dumps {
-		if d.Book != nil && (best == nil || d.Book.placed() > best.placed()) {
-			best = d.Book
+		if d.Book != nil && (mostComplete == nil || d.Book.placedRequests() > mostComplete.placedRequests()) {
+			mostComplete = d.Book
 		}
 	}
-	if best == nil {
+	if mostComplete == nil {
 		return NewState()
 	}
-	return best
+	return mostComplete
 }
 
-// placed is the number of requests that the state can place in time.
-func (s *State) placed() uint64 {
-	var placed uint64
-	for _, known := range s.Incarnations {
-		for _, counters := range known.Series {
-			placed += counters.Received()
+// placedRequests is the number of requests that the state can place in time.
+func (s *State) placedRequests() uint64 {
+	var placedRequests uint64
+	for _, inc := range s.Incarnations {
+		for _, counters := range inc.Series {
+			placedRequests += counters.Received()
 		}
 	}
 	for _, lump := range s.Lumps {
 		for _, counters := range lump.Series {
-			placed -= min(placed, counters.Received())
+			placedRequests -= min(placedRequests, counters.Received())
 		}
 	}
-	return placed
+	return placedRequests
 }
--- a/ledger/encode_dump.go
+++ b/ledger/encode_dump.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// EncodeAccount returns the whole account as it travels in a dump.
+// EncodeAccount encodes a copy of a whole account for use in a dump.
 func EncodeAccount(c *Copy) ([]byte, error) { return encode(c) }
 
-// DecodeDump reads what an instance sent just now for a report; either part may
-// be empty.
-func DecodeDump(now time.Time, own, book []byte) (*Dump, error) {
+// DecodeDump decodes a dump that was received from an instance at now. Either part
+// may be empty.
+func DecodeDump(now time.Time, account, book []byte) (*Dump, error) {
 	d := &Dump{}
 	var err error
-	if len(own) > 0 {
-		if d.Own, err = decodeCopy(own); err != nil {
+	if len(account) > 0 {
+		if d.Own, err = decodeCopy(account); err != nil {
 			return nil, err
 		}
 		d.Own.correctClock(now)
--- a/ledger/events.go
+++ b/ledger/events.go
@@ -7,17 +7,17 @@
 )
 
 var outOfOrder = event.Define(4000, logrus.ErrorLevel, "request counted out of order",
-	"A request was counted as received twice, or as ended without having been received or a second time. "+
-		"The call was left out of the counters. This is a fault of the program: please report it with the request's log lines.")
+	"A request was counted as received twice, as ended twice, or as ended without having been received. "+
+		"The call was not counted. This is a bug: please report it with the log lines of the request.")
 
-var bookOpened = event.Define(4001, logrus.InfoLevel, "ledger opened",
-	"A voter has read the counters of all instances from its data folder. Nothing needs to be done.")
+var storeOpened = event.Define(4001, logrus.InfoLevel, "ledger opened",
+	"The voter has read the counters of all instances from its data folder. No action is needed.")
 
-var bookRewritten = event.Define(4002, logrus.InfoLevel, "ledger log replaced by its state",
-	"The log of copied counters had grown and was replaced by the counters themselves. Nothing needs to be done.")
+var logRewritten = event.Define(4002, logrus.InfoLevel, "ledger log replaced by its state",
+	"The log of copied counters reached its size limit and was replaced by the current counters. No action is needed.")
 
-var bookJoined = event.Define(4003, logrus.InfoLevel, "ledger joined with those of other voters",
-	"This voter had lost its disk or was away, and took over what the other voters know of instances that have ended. Nothing needs to be done.")
+var statesMerged = event.Define(4003, logrus.InfoLevel, "ledger merged with those of other voters",
+	"This voter had lost its disk or was unavailable, and has copied the counters of ended instances from the other voters. No action is needed.")
 
 var clockDiffers = event.Define(4004, logrus.WarnLevel, "clock of an instance differs",
-	"The clock of an instance is more than a minute from that of this voter, whose time was taken for the instance's counters. Set the clocks by a common source.")
+	"The clock of an instance differs by more than a minute from that of this voter, so the voter's time was used for the instance's counters. Synchronise the clocks with a common source.")
--- a/ledger/field.go
+++ b/ledger/field.go
@@ -6,25 +6,25 @@
 	"celeryport/verdict"
 )
 
-// Field names one counter of a series. Every counter only grows, so that two
-// states of one incarnation merge by taking the greater value of each field.
-// The packed form travels between instances: kind, detail and bin.
+// Field identifies one counter of a series. Counters only increase, so two states
+// of one incarnation merge by taking the greater value of each field. The packed
+// form of kind, detail and bin is sent between instances.
 type Field uint32
 
-// FieldKind is the first part of a Field. The numbers travel between instances
-// of different versions: new ones are added at the end, none changes.
+// FieldKind is the first part of a Field. The numbers are exchanged between
+// instances of different versions: add new kinds at the end and never renumber.
 type FieldKind uint8
 
 // The kinds of counters.
 const (
 	KindReceived         FieldKind = iota + 1
-	KindServed                     // whole answers, late ones included
-	KindLate                       // of these, answers after their deadline
+	KindServed                     // complete answers, including late ones
+	KindLate                       // served answers that missed their deadline
 	KindRefused                    // detail: reason
 	KindFailed                     // detail: reason and verdict
 	KindPromptTokens               // of served requests
 	KindAnswerTokens               //
-	KindCachedTokens               // prompt tokens taken from prefix caches
+	KindCachedTokens               // prompt tokens served from prefix caches
 	KindFirstTokenMet              // answers to short prompts within the objective
 	KindFirstTokenMissed           //
 	KindSlowdownMet                // answers to short prompts within the slowdown bound
@@ -64,7 +64,7 @@
 // Kind returns the kind of the counter.
 func (f Field) Kind() FieldKind { return FieldKind(f >> kindShift) }
 
-// Reason returns the reason of a refusal or failure.
+// Reason returns the reason for a refusal or failure.
 func (f Field) Reason() verdict.Reason {
 	if f.Kind() == KindFailed {
 		return reasonOf(f.detail() >> verdictBits)
@@ -78,10 +78,10 @@
 // Length returns the length bucket of a latency.
 func (f Field) Length() Length { return Length(f.detail()) }
 
-// Value returns the middle of the bin of a latency.
-func (f Field) Value() time.Duration { return time.Duration(binMiddle(f.bin())) * time.Microsecond }
+// Value returns the midpoint of a latency bin.
+func (f Field) Value() time.Duration { return time.Duration(binMidpoint(f.bin())) * time.Microsecond }
 
-// isBin reports whether the counter is one bin of a latency.
+// isBin reports whether the counter is a latency bin.
 func (f Field) isBin() bool { return f.Kind() >= KindFirstToken && f.Kind() <= KindTotal }
 
 func (f Field) detail() uint8 { return uint8(f >> detailShift & detailMask) }
--- a/ledger/fleetmodel_test.go
+++ b/ledger/fleetmodel_test.go
@@ -26,7 +26,7 @@
 [service.cassa]
 `
 
-func silent() logrus.FieldLogger {
+func discardLogger() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
@@ -37,23 +37,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := NewAccount(id, at, silent())
+	a := NewAccount(id, at, discardLogger())
 	a.Configure(tree)
 	return a
 }
 
-// fleetModel is a fleet of accounts and voters under rapid, with the plain count
-// of what really happened beside it.
+// fleetModel is a fleet of accounts and voters that is driven by rapid, together
+// with independent counts of the requests that it is sent.
 type fleetModel struct {
-	now       time.Time
-	accounts  []*Account
-	open      []map[string]*request.Request
-	truth     []Counters // of each running incarnation
-	copied    map[ID]Counters
-	voters    []*State
-	positions [][]position // by voter and instance
-	network   [][]byte     // copies that were sent, may arrive at any time, any number of times
-	next      int
+	now            time.Time
+	accounts       []*Account
+	open           []map[string]*request.Request
+	expected       []Counters // of each running incarnation
+	expectedKilled map[ID]Counters
+	voters         []*State
+	positions      [][]position // by voter and instance
+	network        [][]byte     // sent copies, each may arrive at any time, any number of times
+	next           int
 }
 
 const (
@@ -62,11 +62,11 @@
 )
 
 func newFleetModel(t *rapid.T) *fleetModel {
-	m := &fleetModel{now: testStart, copied: map[ID]Counters{}}
+	m := &fleetModel{now: testStart, expectedKilled: map[ID]Counters{}}
 	for i := range modelInstances {
 		m.accounts = append(m.accounts, nil)
 		m.open = append(m.open, nil)
-		m.truth = append(m.truth, Counters{})
+		m.expected = append(m.expected, Counters{})
 		m.start(t, i, 1)
 	}
 	for range modelVoters {
@@ -79,7 +79,7 @@
 func (m *fleetModel) start(t *rapid.T, i int, incarnation uint64) {
 	m.accounts[i] = testAccount(t, ID{fmt.Sprint("instance-", i), incarnation}, m.now)
 	m.open[i] = map[string]*request.Request{}
-	m.truth[i] = Counters{}
+	m.expected[i] = Counters{}
 }
 
 func (m *fleetModel) receive(t *rapid.T) {
@@ -93,7 +93,7 @@
 	}
 	m.open[i][r.ID] = r
 	m.accounts[i].Received(r)
-	m.truth[i].Add(plainField(KindReceived), 1)
+	m.expected[i].Add(plainField(KindReceived), 1)
 }
 
 func (m *fleetModel) end(t *rapid.T) {
@@ -101,7 +101,7 @@
 	for id, r := range m.open[i] {
 		delete(m.open[i], id)
 		m.endOne(t, i, r)
-		m.accounts[i].Served(r, Served{}) // a second end must change nothing
+		m.accounts[i].Served(r, Served{}) // a second end must not be counted
 		return
 	}
 }
@@ -110,17 +110,17 @@
 	switch rapid.IntRange(0, 2).Draw(t, "end") {
 	case 0:
 		m.accounts[i].Served(r, Served{PromptTokens: 900, AnswerTokens: 7, FirstToken: time.Second, InTime: true})
-		m.truth[i].Add(plainField(KindServed), 1)
+		m.expected[i].Add(plainField(KindServed), 1)
 	case 1:
 		m.accounts[i].Refused(r, verdict.ReasonShare)
-		m.truth[i].Add(refusedField(verdict.ReasonShare), 1)
+		m.expected[i].Add(refusedField(verdict.ReasonShare), 1)
 	default:
 		m.accounts[i].Failed(r, verdict.ReasonUpstream, verdict.MayHaveRun)
-		m.truth[i].Add(failedField(verdict.ReasonUpstream, verdict.MayHaveRun), 1)
+		m.expected[i].Add(failedField(verdict.ReasonUpstream, verdict.MayHaveRun), 1)
 	}
 }
 
-// send takes a copy for one voter. It arrives later, twice, or never.
+// send sends a copy to one voter. It may arrive later, several times or never.
 func (m *fleetModel) send(t *rapid.T) {
 	i := rapid.IntRange(0, modelInstances-1).Draw(t, "instance")
 	v := rapid.IntRange(0, modelVoters-1).Draw(t, "voter")
@@ -143,15 +143,16 @@
 	}
 	sequence := m.voters[v].Apply(c)
 	for i, a := range m.accounts {
-		if a.id == c.ID { // a lost answer only leaves an older position
+		if a.id == c.ID { // after a lost answer, the instance would use an older position
 			m.positions[v][i] = position{c.ID.Incarnation, sequence}
 		}
 	}
 }
 
-// settle brings one voter up to date with one instance, as two undisturbed
-// exchanges do: the first may only tell the instance what the voter lacks.
-func (m *fleetModel) settle(t *rapid.T) {
+// bringUpToDate makes two undisturbed exchanges between one instance and one voter.
+// Afterwards the voter must be up to date: if the first copy left a gap, its answer
+// returns the position from which the second starts.
+func (m *fleetModel) bringUpToDate(t *rapid.T) {
 	i := rapid.IntRange(0, modelInstances-1).Draw(t, "instance")
 	v := rapid.IntRange(0, modelVoters-1).Draw(t, "voter")
 	a := m.accounts[i]
@@ -170,20 +171,20 @@
 	for _, counters := range m.voters[v].Incarnations[a.id].Series {
 		known.AddAll(counters)
 	}
-	for n, f := range m.truth[i].Fields {
-		if known.Get(f) != m.truth[i].Values[n] {
-			t.Fatalf("%x: the voter has %d instead of %d", f, known.Get(f), m.truth[i].Values[n])
+	for n, f := range m.expected[i].Fields {
+		if known.Get(f) != m.expected[i].Values[n] {
+			t.Fatalf("%x: the voter has %d instead of %d", f, known.Get(f), m.expected[i].Values[n])
 		}
 	}
 }
 
 func (m *fleetModel) kill(t *rapid.T) {
 	i := rapid.IntRange(0, modelInstances-1).Draw(t, "instance")
-	m.copied[m.accounts[i].id] = m.truth[i]
+	m.expectedKilled[m.accounts[i].id] = m.expected[i]
 	m.start(t, i, m.accounts[i].id.Incarnation+1)
 }
 
-// restartVoter rebuilds a voter from what it would have written.
+// restartVoter rebuilds a voter from its encoded state.
 func (m *fleetModel) restartVoter(t *rapid.T) {
 	v := rapid.IntRange(0, modelVoters-1).Draw(t, "voter")
 	encoded, err := encode(m.voters[v])
@@ -197,7 +198,7 @@
 	m.voters[v] = state
 }
 
-func (m *fleetModel) loseVoter(t *rapid.T) {
+func (m *fleetModel) loseVoterDisk(t *rapid.T) {
 	m.voters[rapid.IntRange(0, modelVoters-1).Draw(t, "voter")] = NewState()
 }
 
--- a/ledger/fuzz_test.go
+++ b/ledger/fuzz_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// A copy comes from another process. Whatever it holds, the voter that takes it
-// must go on, and its report must be printable.
+// Copies come from other processes. No decodable copy may make the voter panic,
+// unbalance its report or prevent the report from being printed.
 func FuzzCopy(f *testing.F) {
 	account := testAccount(f, ID{"one", 1}, testStart)
 	serveMany(account, 0, 3)
-	for _, c := range []*Copy{account.Take(testStart, 0), account.Take(testStart, 1), {ID: ID{"one", 1}}} {
+	for _, c := range []*Copy{account.Snapshot(testStart, 0), account.Snapshot(testStart, 1), {ID: ID{"one", 1}}} {
 		encoded, err := encode(c)
 		if err != nil {
 			f.Fatal(err)
--- a/ledger/hours.go
+++ b/ledger/hours.go
@@ -11,13 +11,13 @@
 	Series map[Series]*Counters
 }
 
-// Hours returns the hours that are kept, ascending, up to now.
+// Hours returns the retained hours up to now, in ascending order.
 func (w *Windows) Hours(now time.Time) []Hour {
 	t := tiers[hourTier]
 	newest := t.number(now)
 	var hours []Hour
 	for number, c := range w.Cells[hourTier] {
-		if number <= newest && newest-number < int64(t.keep) {
+		if number <= newest && newest-number < int64(t.maxCells) {
 			hours = append(hours, Hour{Start: t.start(number), Series: c})
 		}
 	}
--- a/ledger/id.go
+++ b/ledger/id.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// ID names one incarnation of one instance.
+// ID identifies one incarnation of one instance.
 type ID struct {
 	Instance    string
-	Incarnation uint64 // grows with each start of the process
+	Incarnation uint64 // increases with each start of the process
 }
 
 // Compare orders by instance, then by incarnation.
--- a/ledger/latency.go
+++ b/ledger/latency.go
@@ -6,8 +6,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latency are the quantiles of one kind of latency. Quantiles of quantiles mean
-// nothing: the histograms of all instances are merged, then read.
+// Latency holds the quantiles of one latency measure. They are computed from the
+// merged histograms of all instances, since quantiles can't be aggregated.
 type Latency struct {
 	Organisation string        `json:"organisation,omitempty"`
 	Class        string        `json:"class,omitempty"`
@@ -19,10 +19,10 @@
 	P99          time.Duration `json:"p99_ns"`
 }
 
-// Measure names a latency.
+// Measure is a kind of latency.
 type Measure string
 
-// The latencies of a report.
+// The latency measures of a report.
 const (
 	FirstToken Measure = "first token"
 	TokenGap   Measure = "token gap"
@@ -35,32 +35,32 @@
 	KindTotal:      Total,
 }
 
-// The histograms hold microseconds up to a day. Three digits are finer than the
-// bins that are put in, so they add no error of their own.
+// Histograms record values in microseconds, up to one day. Three significant
+// digits are finer than the bins that are recorded, so the histograms add no error.
 const (
 	histogramLowest  = 1
 	histogramHighest = int64(24 * time.Hour / time.Microsecond)
 	histogramDigits  = 3
 )
 
-// latencies reads the quantiles of all latencies in the counters, by kind and
-// length.
+// latencies returns the quantiles of all latencies in the counters, by kind and
+// length bucket.
 func (c *Counters) latencies() []Latency {
 	var all []Latency
 	var histogram *hdrhistogram.Histogram
-	var present Field
+	var currentKey Field
 	flush := func() {
 		if histogram != nil {
-			all = append(all, quantiles(present, histogram))
+			all = append(all, quantiles(currentKey, histogram))
 		}
 	}
 	for i, f := range c.Fields {
 		if !f.isBin() {
 			continue
 		}
-		if head := f &^ binMask; histogram == nil || head != present {
+		if head := f &^ binMask; histogram == nil || head != currentKey {
 			flush()
-			present, histogram = head, newHistogram()
+			currentKey, histogram = head, newHistogram()
 		}
 		record(histogram, f, c.Values[i])
 	}
@@ -73,9 +73,9 @@
 }
 
 func record(h *hdrhistogram.Histogram, f Field, n uint64) {
-	value := min(max(binMiddle(f.bin()), histogramLowest), histogramHighest)
+	value := min(max(binMidpoint(f.bin()), histogramLowest), histogramHighest)
 	if err := h.RecordValues(value, int64(n)); err != nil {
-		panic("ledger: a value within the bounds of a histogram was refused: " + err.Error())
+		panic("ledger: histogram rejected a value within its bounds: " + err.Error())
 	}
 }
 
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,6 +1,7 @@
-// Package ledger counts who got what. Counters are cumulative for one
-// incarnation of one instance; copies of them merge by taking the newest, so a
-// doubled, late or lost copy neither doubles nor loses a request.
+// Package ledger counts requests and their outcomes by organisation, class and
+// target. Counters are cumulative for one incarnation of one instance, and copies
+// merge by taking the greater value of each counter. Duplicated, delayed or lost
+// copies therefore neither count a request twice nor lose one.
 package ledger
 
 import (
@@ -10,8 +11,9 @@
 	"celeryport/verdict"
 )
 
-// Recorder is what the traffic side calls. For every request Received is called
-// once, and later exactly one of Served, Refused and Failed.
+// Recorder receives the outcome of each request from the request path. For every
+// request, Received is called once, followed by exactly one of Served, Refused
+// and Failed.
 type Recorder interface {
 	Received(r *request.Request)
 	Served(r *request.Request, s Served)
@@ -19,7 +21,7 @@
 	Failed(r *request.Request, reason verdict.Reason, v verdict.Verdict)
 }
 
-// Served describes one whole answer.
+// Served describes one complete answer.
 type Served struct {
 	PromptTokens int
 	AnswerTokens int
@@ -27,10 +29,10 @@
 	FirstToken   time.Duration // from arrival to the first token, 0 for plain services
 	Total        time.Duration // from arrival to the end of the answer
 	TokenGap     time.Duration // mean time between tokens
-	InTime       bool          // before its deadline
+	InTime       bool          // completed before the deadline
 
-	// IdleFirstToken is what the time to the first token would have been on an
-	// idle engine: tokens to prefill over the engine's prefill rate. It is what
-	// the slowdown objective compares with; 0: not known.
+	// IdleFirstToken is the estimated time to the first token on an idle engine:
+	// the number of tokens to prefill divided by the engine's prefill rate. It is
+	// the baseline of the slowdown objective; 0 if unknown.
 	IdleFirstToken time.Duration
 }
--- a/ledger/length.go
+++ b/ledger/length.go
@@ -1,7 +1,7 @@
 package ledger
 
-// Length is the bucket of prompt lengths in which latencies are kept. The
-// buckets are fixed, so that reports compare over changes of the settings.
+// Length is a bucket of prompt lengths by which latencies are grouped. The buckets
+// are fixed, so that reports stay comparable when settings change.
 type Length uint8
 
 // The length buckets.
@@ -20,7 +20,7 @@
 
 var lengthNames = [...]string{"1-4k", "4-16k", "16-100k", "100k-400k", "over 400k"}
 
-// LengthOf returns the bucket of a prompt of so many tokens.
+// LengthOf returns the bucket of a prompt by its number of tokens.
 func LengthOf(promptTokens int) Length {
 	for i, bound := range lengthBounds {
 		if promptTokens <= bound {
@@ -30,7 +30,7 @@
 	return LengthOver400k
 }
 
-// String names the bucket.
+// String returns the name of the bucket.
 func (l Length) String() string {
 	if int(l) >= len(lengthNames) {
 		return "other"
--- a/ledger/lump_test.go
+++ b/ledger/lump_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// A voter comes back with an empty disk and gets the whole account of an instance
-// that has run for hours. If all of it counted as of now, the burn of the last
-// minutes would call people out of bed for what happened yesterday.
-func TestWhatIsLearnedLateIsNoBurst(t *testing.T) {
+// A voter restarts with an empty disk and receives the whole account of an instance
+// that has run for hours. If all of it were attributed to the present, the burn
+// rates of the last minutes would raise alerts for requests of past hours.
+func TestLateCopyIsNotCountedAsRecentGrowth(t *testing.T) {
 	const hours = 5 * time.Hour
 	account := testAccount(t, ID{"one", 1}, testStart)
 	serveMany(account, 0, 50)
 	now := testStart.Add(hours)
 	state := NewState()
-	position := state.Apply(account.Take(now, 0))
+	position := state.Apply(account.Snapshot(now, 0))
 	serveMany(account, 50, 3)
 	now = now.Add(time.Second)
-	state.Apply(account.Take(now, position))
+	state.Apply(account.Snapshot(now, position))
 
 	cases := []struct {
 		ago      time.Duration
--- a/ledger/names.go
+++ b/ledger/names.go
@@ -5,12 +5,12 @@
 	"celeryport/settings"
 )
 
-// Other stands for every name that the settings don't hold. Callers choose what
-// they send; without this, made-up names would grow the counters, the copies
-// and the metrics without bound.
+// Other replaces every name that is not in the settings. Callers choose the names
+// that they send, so counting these as they are would let counters, copies and
+// metrics grow without bound.
 const Other = "other"
 
-// Names collapses names that the settings don't hold.
+// Names maps requests to series and replaces names that are not in the settings.
 type Names struct {
 	tree          *settings.Tree
 	organisations map[string]bool
@@ -46,8 +46,8 @@
 	return n
 }
 
-// Series returns the series that a request counts for. Without names everything
-// is Other.
+// Series returns the series under which a request is counted. All names of a nil
+// Names are Other.
 func (n *Names) Series(r *request.Request) Series {
 	s := Series{Organisation: Other, Class: Other, Kind: r.Kind, Target: Other}
 	if n == nil {
@@ -65,7 +65,7 @@
 	return s
 }
 
-// objectives returns those of a class.
+// objectives returns the objectives of a class.
 func (n *Names) objectives(class string) settings.Objectives {
 	if n == nil {
 		return settings.Objectives{}
--- a/ledger/position.go
+++ b/ledger/position.go
@@ -2,7 +2,8 @@
 
 import "encoding/binary"
 
-// position is how far a voter has the account of one incarnation.
+// position identifies the last copy of one incarnation's account that a voter has
+// stored.
 type position struct {
 	incarnation uint64
 	sequence    uint64
@@ -16,8 +17,8 @@
 	return binary.BigEndian.AppendUint64(b, p.sequence)
 }
 
-// decodePosition reads what a voter returned. Anything else counts as nothing
-// stored, which at worst copies too much.
+// decodePosition decodes a position that a voter returned. Malformed input decodes
+// as the empty position, which at worst causes a larger copy.
 func decodePosition(b []byte) position {
 	if len(b) != positionSize {
 		return position{}
--- a/ledger/property_test.go
+++ b/ledger/property_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// report asks the voters and the running instances, some of which don't answer.
+// report builds a report from all voters and those running instances that answer.
 func (m *fleetModel) report(t *rapid.T, q Query) (*Report, map[ID]bool) {
 	var dumps []*Dump
 	for _, v := range m.voters {
@@ -20,7 +20,7 @@
 	}
 	for _, a := range m.accounts {
 		if rapid.Bool().Draw(t, "reached") {
-			dumps = append(dumps, &Dump{Own: a.Take(m.now, 0)})
+			dumps = append(dumps, &Dump{Own: a.Snapshot(m.now, 0)})
 		}
 	}
 	live := LiveOf(dumps)
@@ -30,33 +30,33 @@
 func (m *fleetModel) check(t *rapid.T) {
 	report, live := m.report(t, Query{})
 	checkBalance(t, report)
-	var least, most Counters
+	var minimum, maximum Counters
 	for i, a := range m.accounts {
-		most.AddAll(&m.truth[i])
+		maximum.AddAll(&m.expected[i])
 		if live[a.id] {
-			least.AddAll(&m.truth[i])
+			minimum.AddAll(&m.expected[i])
 		}
 	}
-	for _, counters := range m.copied {
-		most.AddAll(&counters)
+	for _, counters := range m.expectedKilled {
+		maximum.AddAll(&counters)
 	}
-	checkBetween(t, "received", report.Total.Received, least.Received(), most.Received())
-	checkBetween(t, "served", report.Total.Served, least.Served(), most.Served())
-	checkBetween(t, "refused", report.Total.Refused, least.Refused(), most.Refused())
-	checkBetween(t, "failed", report.Total.Failed, least.Failed(), most.Failed())
-	if missing := most.Received() - report.Total.Received; missing > 0 && len(report.Unknown) == 0 && len(live) == modelInstances {
+	checkBetween(t, "received", report.Total.Received, minimum.Received(), maximum.Received())
+	checkBetween(t, "served", report.Total.Served, minimum.Served(), maximum.Served())
+	checkBetween(t, "refused", report.Total.Refused, minimum.Refused(), maximum.Refused())
+	checkBetween(t, "failed", report.Total.Failed, minimum.Failed(), maximum.Failed())
+	if missing := maximum.Received() - report.Total.Received; missing > 0 && len(report.Unknown) == 0 && len(live) == modelInstances {
 		m.checkNeverCopied(t, report)
 	}
 	m.checkWindows(t)
 	since, _ := m.report(t, Query{Since: m.now.Add(-10 * time.Minute)})
 	checkBalance(t, since)
-	if since.Total.CarriedIn < 0 || since.Total.Received > most.Received() {
+	if since.Total.CarriedIn < 0 || since.Total.Received > maximum.Received() {
 		t.Fatalf("impossible window: %+v", since.Total)
 	}
 }
 
-// checkWindows compares a report since the beginning, which is made from
-// the growth over time, with one over everything, of one state.
+// checkWindows compares a report since the start of the test, which is built from
+// the growth over time, with a report without Since, both from the same state.
 func (m *fleetModel) checkWindows(t *rapid.T) {
 	var dumps []*Dump
 	for _, v := range m.voters {
@@ -75,20 +75,21 @@
 	}
 }
 
-// checkNeverCopied allows for incarnations that died before any copy arrived
-// anywhere; the control group lists those, which this model leaves out.
+// checkNeverCopied ignores incarnations that were killed before any voter received a
+// copy. Reports name these because the control group lists them, which is not part
+// of this model.
 func (m *fleetModel) checkNeverCopied(t *rapid.T, report *Report) {
 	var known uint64
-	for id, counters := range m.copied {
+	for id, counters := range m.expectedKilled {
 		if m.knownAnywhere(id) {
 			known += counters.Received()
 		}
 	}
 	for i := range m.accounts {
-		known += m.truth[i].Received()
+		known += m.expected[i].Received()
 	}
 	if report.Total.Received < known {
-		t.Fatalf("%d of %d received and nothing unknown", report.Total.Received, known)
+		t.Fatalf("the report shows %d of %d received requests and names no unknown instance", report.Total.Received, known)
 	}
 }
 
@@ -101,9 +102,9 @@
 	return false
 }
 
-func checkBetween(t *rapid.T, what string, got, least, most uint64) {
-	if got < least || got > most {
-		t.Fatalf("%s: %d is not from %d to %d", what, got, least, most)
+func checkBetween(t *rapid.T, name string, got, minimum, maximum uint64) {
+	if got < minimum || got > maximum {
+		t.Fatalf("%s: %d is not between %d and %d", name, got, minimum, maximum)
 	}
 }
 
@@ -119,9 +120,9 @@
 }
 
 // Instances are killed and restarted, voters restart and lose their disks, and
-// copies are lost, doubled, late and out of order, in any order. A user of the
-// report would notice requests that are counted twice, that vanish without being
-// called unknown, or a row that doesn't add up.
+// copies are lost, duplicated, delayed and reordered, in any sequence. The report
+// must not count a request twice, omit one without naming an unknown instance, or
+// have a row that does not balance.
 func TestReportAddsUpUnderAnyInterleaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newFleetModel(t)
@@ -132,10 +133,10 @@
 			"send":         m.send,
 			"arrive":       m.arrive,
 			"arrive again": m.arrive,
-			"settle":       m.settle,
+			"settle":       m.bringUpToDate,
 			"kill":         m.kill,
 			"restart":      m.restartVoter,
-			"lose disk":    m.loseVoter,
+			"lose disk":    m.loseVoterDisk,
 			"wait":         m.wait,
 			"report":       m.check,
 		})
--- a/ledger/query.go
+++ b/ledger/query.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Query is what a report is asked for.
+// Query selects what a report covers.
 type Query struct {
-	Since        time.Time `json:"since,omitzero"` // zero: everything that is known
+	Since        time.Time `json:"since,omitzero"` // zero: all recorded requests
 	Organisation string    `json:"organisation,omitempty"`
 	Class        string    `json:"class,omitempty"`
 }
 
-// matches reports whether a series is asked for; a name stands for its branch
-// and all below it.
+// matches reports whether a series is selected. A name selects itself and all names
+// below it in the hierarchy.
 func (q *Query) matches(s Series) bool {
 	return within(q.Organisation, s.Organisation) && within(q.Class, s.Class)
 }
--- a/ledger/reasons.go
+++ b/ledger/reasons.go
@@ -2,8 +2,9 @@
 
 import "celeryport/verdict"
 
-// numberedReasons gives each reason the number under which it is stored and
-// copied. New reasons are added at the end, at most maxReasons; none moves.
+// numberedReasons assigns each reason the number under which it is stored and
+// copied, its index. Add new reasons at the end, up to maxReasons in total, and
+// never reorder them.
 var numberedReasons = []verdict.Reason{
 	reasonOther,
 	verdict.ReasonBadRequest,
@@ -32,7 +33,7 @@
 }
 
 const (
-	// reasonOther stands for a reason without a number.
+	// reasonOther replaces a reason that has no number.
 	reasonOther verdict.Reason = "other"
 	maxReasons                 = 1 << (8 - verdictBits)
 )
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -2,10 +2,10 @@
 
 import "github.com/cockroachdb/errors"
 
-// The kinds of records in the log of a book; the first byte of each record.
+// The kinds of records in the log, stored as the first byte of each record.
 const (
 	recordCopy  byte = 'c' // an encoded Copy
-	recordState byte = 's' // an encoded State, replaces everything before
+	recordState byte = 's' // an encoded State, which replaces all earlier records
 )
 
 var errUnknownRecord = errors.New("unknown record in the log of the ledger")
@@ -53,29 +53,29 @@
 	return nil, errUnknownRecord
 }
 
-// replayCopy takes a copy in even if there seems to be a gap before it: copies
-// without any change are not in the log, so the numbers of the others do not
-// follow on each other. Each of them applied when it was written.
+// replayCopy applies a copy even if its sequence numbers leave a gap. Copies
+// without changes are not logged, so the numbers of logged copies need not be
+// contiguous. Each copy was applicable when it was logged.
 func replayCopy(state *State, c *Copy) {
 	if c.To > state.sequence(c.ID) {
-		state.take(c)
+		state.applyUnchecked(c)
 	}
 }
 
-// decodeState reads an encoded State; the encoding leaves empty maps out.
+// decodeState decodes a State and restores the empty maps that gob omits.
 func decodeState(encoded []byte) (*State, error) {
 	state := NewState()
 	if err := decode(encoded, state); err != nil {
 		return nil, err
 	}
-	state.fill()
+	state.initMaps()
 	return state, nil
 }
 
-func (s *State) fill() {
-	for _, known := range s.Incarnations {
-		if known.Series == nil {
-			known.Series = map[Series]*Counters{}
+func (s *State) initMaps() {
+	for _, inc := range s.Incarnations {
+		if inc.Series == nil {
+			inc.Series = map[Series]*Counters{}
 		}
 	}
 	for i := range s.Windows.Cells {
--- a/ledger/report.go
+++ b/ledger/report.go
@@ -6,16 +6,17 @@
 	"celeryport/verdict"
 )
 
-// Report says who got what. For every row holds
+// Report lists requests and their outcomes by organisation, class and target.
+// Every row satisfies
 //
 //	received + carried in = served + refused + failed + in flight + unknown
 //
-// where carried in are the requests that were in flight at Since, and 0 for a
-// report over everything.
+// where "carried in" counts the requests that were in flight at Since. It is 0 in
+// a report without Since.
 type Report struct {
 	At           time.Time    `json:"at"`
-	Since        time.Time    `json:"since,omitzero"`         // from which the counts run
-	LatencySince time.Time    `json:"latency_since,omitzero"` // from which the latencies run
+	Since        time.Time    `json:"since,omitzero"`         // start of the counts
+	LatencySince time.Time    `json:"latency_since,omitzero"` // start of the latencies
 	Total        Row          `json:"total"`
 	ByOrg        []Row        `json:"by_organisation"`
 	ByClass      []Row        `json:"by_class"`
@@ -24,15 +25,16 @@
 	Latencies    []Latency    `json:"latencies"`
 	Unknown      []UnknownEnd `json:"unknown"`
 	Unplaced     []Unplaced   `json:"unplaced,omitempty"`
-	// MissingBooks are voters that did not answer. What ended instances copied to
-	// none but them is not in the report.
+	// MissingBooks lists the voters that did not answer. The report lacks counters
+	// of ended instances that only these voters hold.
 	MissingBooks []string `json:"missing_books,omitempty"`
-	// DroppedUpTo is set in a report over everything that lacks incarnations which
-	// ended up to then.
+	// DroppedUpTo is set in a report without Since from which old incarnations were
+	// dropped: the time at which the newest of them ended.
 	DroppedUpTo time.Time `json:"dropped_up_to,omitzero"`
 }
 
-// Row is what one organisation, class or target got, or a combination of them.
+// Row counts the requests of one organisation, class or target, or of a combination
+// of them.
 type Row struct {
 	Organisation string    `json:"organisation,omitempty"`
 	Class        string    `json:"class,omitempty"`
@@ -41,19 +43,19 @@
 	CarriedIn    int64     `json:"carried_in"`
 	Received     uint64    `json:"received"`
 	Served       uint64    `json:"served"`
-	Late         uint64    `json:"late"` // of the served ones
+	Late         uint64    `json:"late"` // included in Served
 	Refused      uint64    `json:"refused"`
 	RefusedBy    []Refusal `json:"refused_by,omitempty"`
 	Failed       uint64    `json:"failed"`
 	FailedBy     []Failure `json:"failed_by,omitempty"`
 	InFlight     int64     `json:"in_flight"`
-	Unknown      int64     `json:"unknown"` // were in flight on an instance that is dead or not reached
+	Unknown      int64     `json:"unknown"` // in flight on an instance that is dead or unreachable
 	PromptTokens uint64    `json:"prompt_tokens"`
 	AnswerTokens uint64    `json:"answer_tokens"`
 	CachedTokens uint64    `json:"cached_tokens"`
 }
 
-// Refusal counts the refusals of one reason.
+// Refusal counts the refusals for one reason.
 type Refusal struct {
 	Reason verdict.Reason `json:"reason"`
 	Count  uint64         `json:"count"`
@@ -66,24 +68,24 @@
 	Count   uint64          `json:"count"`
 }
 
-// UnknownEnd is an instance of which nothing is known since a time, though it
-// may have received and answered more.
+// UnknownEnd describes an instance that may have received and answered requests
+// after its last known copy.
 type UnknownEnd struct {
 	Instance    string    `json:"instance"`
 	Incarnation uint64    `json:"incarnation"`
 	Since       time.Time `json:"since,omitzero"` // zero: nothing was ever copied
-	InFlight    int64     `json:"in_flight"`      // at that time
+	InFlight    int64     `json:"in_flight"`      // at Since
 	Reason      string    `json:"reason"`
 }
 
 // The reasons of an UnknownEnd.
 const (
-	EndDead       = "dead"        // ended without its last copy
-	EndNotReached = "not reached" // alive for the control group, but did not answer
+	EndDead       = "dead"        // ended without sending a final copy
+	EndNotReached = "not reached" // listed as alive by the control group, but did not answer
 )
 
-// Unplaced are requests that are in the counts over everything, but can't be
-// placed before or after the beginning of the report.
+// Unplaced counts requests that are part of a report without Since, but for which
+// it is unknown whether they came before or after the start of this report.
 type Unplaced struct {
 	From     time.Time `json:"from"`
 	To       time.Time `json:"to"`
--- a/ledger/report_make.go
+++ b/ledger/report_build.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// NewReport makes a report. It is a pure function of its input, of which it trims
-// the state.
+// NewReport builds a report from its input alone. It trims the state of the input
+// in place.
 func NewReport(in ReportInput) *Report {
 	in.State.Trim(in.Now)
 	totals := collect(&in)
@@ -15,7 +15,7 @@
 	if in.Query.Since.IsZero() {
 		report.DroppedUpTo = in.State.DroppedUpTo
 	} else {
-		latencies = restrict(&in, totals, report)
+		latencies = restrictToPeriod(&in, totals, report)
 	}
 	fillRows(report, totals)
 	fillLatencies(report, latencies)
@@ -23,7 +23,7 @@
 	return report
 }
 
-// tally is what one series, or a group of them, comes to.
+// tally is the sum over one series or a group of series.
 type tally struct {
 	counters  Counters
 	inFlight  int64
@@ -40,7 +40,7 @@
 
 type tallies map[Series]*tally
 
-func (t tallies) of(name Series) *tally {
+func (t tallies) get(name Series) *tally {
 	if t[name] == nil {
 		t[name] = &tally{}
 	}
@@ -50,12 +50,12 @@
 // collect sums the accounts of all incarnations.
 func collect(in *ReportInput) tallies {
 	all := tallies{}
-	for id, known := range in.State.Incarnations {
-		for name, counters := range known.Series {
+	for id, inc := range in.State.Incarnations {
+		for name, counters := range inc.Series {
 			if !in.Query.matches(name) {
 				continue
 			}
-			t := all.of(name)
+			t := all.get(name)
 			t.counters.AddAll(counters)
 			if in.Live[id] {
 				t.inFlight += counters.InFlight()
@@ -67,10 +67,10 @@
 	return all
 }
 
-// restrict replaces the counts by those since the beginning of the report. What
-// was in flight then follows from the equation. It returns the latencies, which
-// are kept by the hour.
-func restrict(in *ReportInput, totals tallies, report *Report) tallies {
+// restrictToPeriod replaces the counts by those since the start of the report. The
+// number of requests in flight at the start follows from the equation of Report.
+// It returns the latencies, which are stored by the hour.
+func restrictToPeriod(in *ReportInput, totals tallies, report *Report) tallies {
 	growth, start := in.State.Windows.Since(in.Query.Since, in.Now)
 	latencies, latencyStart := in.State.Windows.LatenciesSince(in.Query.Since, in.Now)
 	report.Since, report.LatencySince = start, latencyStart
@@ -82,11 +82,11 @@
 		}
 		t.carriedIn = t.inFlight + t.unknown + int64(t.counters.Ended()) - int64(t.counters.Received())
 	}
-	return talliesOf(in, latencies)
+	return tallyCounters(in, latencies)
 }
 
-// addLumps adds the lumps that lie wholly after the start, and returns those
-// that lie across it.
+// addLumps adds the lumps that lie entirely after the start and returns those that
+// span it.
 func addLumps(in *ReportInput, start time.Time, growth, latencies map[Series]*Counters) []Unplaced {
 	var unplaced []Unplaced
 	for _, lump := range in.State.Lumps {
@@ -114,11 +114,11 @@
 	return u
 }
 
-func talliesOf(in *ReportInput, counters map[Series]*Counters) tallies {
+func tallyCounters(in *ReportInput, counters map[Series]*Counters) tallies {
 	all := tallies{}
 	for name, c := range counters {
 		if in.Query.matches(name) {
-			all.of(name).counters.AddAll(c)
+			all.get(name).counters.AddAll(c)
 		}
 	}
 	return all
@@ -136,11 +136,11 @@
 	report.Total = newRow(Series{}, &total)
 }
 
-// group sums the series that a key makes equal, in the order of the keys.
+// group sums the series that map to the same key. Rows are ordered by key.
 func group(all tallies, key func(Series) Series) []Row {
 	grouped := tallies{}
 	for name, t := range all {
-		grouped.of(key(name)).addAll(t)
+		grouped.get(key(name)).addAll(t)
 	}
 	rows := make([]Row, 0, len(grouped))
 	for _, name := range sortedNames(grouped) {
@@ -168,7 +168,7 @@
 	for _, key := range keys {
 		grouped := tallies{}
 		for name, t := range all {
-			grouped.of(key(name)).addAll(t)
+			grouped.get(key(name)).addAll(t)
 		}
 		for _, name := range sortedNames(grouped) {
 			for _, l := range grouped[name].counters.latencies() {
--- a/ledger/report_csv.go
+++ b/ledger/report_csv.go
@@ -14,7 +14,7 @@
 	"failed", "in_flight", "unknown", "prompt_tokens", "cached_tokens", "answer_tokens", "refused_by", "failed_by",
 }
 
-// WriteCSV writes one line for each organisation, class and target.
+// WriteCSV writes one line for each combination of organisation, class and target.
 func (r *Report) WriteCSV(w io.Writer) error {
 	c := csv.NewWriter(w)
 	if err := c.Write(csvHead); err != nil {
@@ -38,9 +38,9 @@
 		failed = append(failed, fmt.Sprintf("%s/%s=%d", x.Reason, x.Verdict, x.Count))
 	}
 	return []string{
-		r.Organisation, r.Class, r.Kind, r.Target, number(r.Received), signed(r.CarriedIn), number(r.Served),
-		number(r.Late), number(r.Refused), number(r.Failed), signed(r.InFlight), signed(r.Unknown),
-		number(r.PromptTokens), number(r.CachedTokens), number(r.AnswerTokens),
+		r.Organisation, r.Class, r.Kind, r.Target, formatUint(r.Received), formatInt(r.CarriedIn), formatUint(r.Served),
+		formatUint(r.Late), formatUint(r.Refused), formatUint(r.Failed), formatInt(r.InFlight), formatInt(r.Unknown),
+		formatUint(r.PromptTokens), formatUint(r.CachedTokens), formatUint(r.AnswerTokens),
 		strings.Join(refused, " "), strings.Join(failed, " "),
 	}
 }
--- a/ledger/report_input.go
+++ b/ledger/report_input.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// ReportInput is everything that a report is made of.
+// ReportInput is the input of NewReport.
 type ReportInput struct {
 	Query Query
 	Now   time.Time
 	State *State
-	// Live are the incarnations that answered just now: what they have in flight
-	// is in flight. What any other had in flight is unknown.
+	// Live holds the incarnations that answered for this report. Their open requests
+	// are reported as in flight, those of all other incarnations as unknown.
 	Live map[ID]bool
-	// Listed are the instances that the control group lists, whether they
-	// answered or not; true: it takes them for alive.
+	// Listed holds the incarnations that the control group lists, whether or not
+	// they answered. The value is true if the control group considers them alive.
 	Listed map[ID]bool
-	// MissingBooks are voters that did not answer.
+	// MissingBooks lists the voters that did not answer.
 	MissingBooks []string
 }
 
-// LiveOf returns the incarnations that answered with their own account.
+// LiveOf returns the incarnations whose own account is among the dumps.
 func LiveOf(dumps []*Dump) map[ID]bool {
 	live := map[ID]bool{}
 	for _, d := range dumps {
--- a/ledger/report_row.go
+++ b/ledger/report_row.go
@@ -46,7 +46,7 @@
 	return "model"
 }
 
-// Balanced reports whether the equation of the report holds for the row.
+// Balanced reports whether the row satisfies the equation of Report.
 func (r *Row) Balanced() bool {
 	return int64(r.Received)+r.CarriedIn == int64(r.Served+r.Refused+r.Failed)+r.InFlight+r.Unknown
 }
--- a/ledger/report_table.go
+++ b/ledger/report_table.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	timeForm = "2006-01-02 15:04:05 MST"
-	// shownUnknown bounds the instances that the table lists by name.
-	shownUnknown = 20
-	padding      = 2
+	timeFormat = "2006-01-02 15:04:05 MST"
+	// maxListedUnknown bounds the number of unknown instances listed in the table.
+	maxListedUnknown = 20
+	columnPadding    = 2
 )
 
-// WriteTable writes the report for a terminal.
+// WriteTable writes the report as tables for a terminal.
 func (r *Report) WriteTable(w io.Writer) error {
-	p := &printer{w: tabwriter.NewWriter(w, 0, 0, padding, ' ', tabwriter.AlignRight)}
-	p.line("report at %s", r.At.UTC().Format(timeForm))
+	p := &printer{w: tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', tabwriter.AlignRight)}
+	p.line("report at %s", r.At.UTC().Format(timeFormat))
 	if !r.Since.IsZero() {
-		p.line("since %s, latencies since %s", r.Since.Format(timeForm), r.LatencySince.Format(timeForm))
+		p.line("since %s, latencies since %s", r.Since.Format(timeFormat), r.LatencySince.Format(timeFormat))
 	}
 	p.rows("by organisation", r.ByOrg, func(row *Row) string { return row.Organisation })
 	p.rows("by class", r.ByClass, func(row *Row) string { return row.Class })
@@ -34,7 +34,7 @@
 	p.unknown(r.Unknown)
 	p.unplaced(r.Unplaced)
 	if !r.DroppedUpTo.IsZero() {
-		p.line("dropped for their age: instances that ended up to %s", r.DroppedUpTo.UTC().Format(timeForm))
+		p.line("dropped for their age: instances that ended up to %s", r.DroppedUpTo.UTC().Format(timeFormat))
 	}
 	if len(r.MissingBooks) > 0 {
 		p.line("voters that did not answer: %s; what only they know of ended instances is missing",
@@ -43,7 +43,7 @@
 	return p.finish()
 }
 
-// printer writes tables and keeps the first error.
+// printer writes tables and collects write errors.
 type printer struct {
 	w   *tabwriter.Writer
 	err error
@@ -60,7 +60,8 @@
 
 func (p *printer) finish() error { return errors.CombineErrors(p.err, p.w.Flush()) }
 
-// title ends the table before it, so that each table has its own columns.
+// title flushes the preceding table, so that each table has its own column widths,
+// and writes the title of the next one.
 func (p *printer) title(text string) {
 	p.line("")
 	p.err = errors.CombineErrors(p.err, p.w.Flush())
@@ -73,9 +74,9 @@
 		"prompt tokens", "cached", "answer tokens")
 	for i := range rows {
 		row := &rows[i]
-		p.cells(name(row), number(row.Received), signed(row.CarriedIn), number(row.Served), number(row.Late),
-			number(row.Refused), number(row.Failed), signed(row.InFlight), signed(row.Unknown),
-			number(row.PromptTokens), number(row.CachedTokens), number(row.AnswerTokens))
+		p.cells(name(row), formatUint(row.Received), formatInt(row.CarriedIn), formatUint(row.Served), formatUint(row.Late),
+			formatUint(row.Refused), formatUint(row.Failed), formatInt(row.InFlight), formatInt(row.Unknown),
+			formatUint(row.PromptTokens), formatUint(row.CachedTokens), formatUint(row.AnswerTokens))
 	}
 }
 
@@ -85,10 +86,10 @@
 	}
 	p.title("refused and failed by reason")
 	for _, r := range row.RefusedBy {
-		p.cells("refused", string(r.Reason), "not-run", number(r.Count))
+		p.cells("refused", string(r.Reason), "not-run", formatUint(r.Count))
 	}
 	for _, f := range row.FailedBy {
-		p.cells("failed", string(f.Reason), f.Verdict.String(), number(f.Count))
+		p.cells("failed", string(f.Reason), f.Verdict.String(), formatUint(f.Count))
 	}
 }
 
@@ -103,7 +104,7 @@
 		if l.Measure == Total {
 			length = "-"
 		}
-		p.cells(l.Class, length, string(l.Measure), strconv.FormatInt(l.Count, 10), short(l.P50), short(l.P95), short(l.P99))
+		p.cells(l.Class, length, string(l.Measure), strconv.FormatInt(l.Count, 10), roundDuration(l.P50), roundDuration(l.P95), roundDuration(l.P99))
 	}
 }
 
@@ -113,14 +114,14 @@
 	}
 	p.title("unknown: what these instances counted since is not in the report")
 	p.cells("instance", "incarnation", "since", "in flight then", "")
-	for _, e := range ends[max(0, len(ends)-shownUnknown):] {
+	for _, e := range ends[max(0, len(ends)-maxListedUnknown):] {
 		since := "nothing was copied"
 		if !e.Since.IsZero() {
-			since = e.Since.UTC().Format(timeForm)
+			since = e.Since.UTC().Format(timeFormat)
 		}
-		p.cells(e.Instance, number(e.Incarnation), since, signed(e.InFlight), e.Reason)
+		p.cells(e.Instance, formatUint(e.Incarnation), since, formatInt(e.InFlight), e.Reason)
 	}
-	if more := len(ends) - shownUnknown; more > 0 {
+	if more := len(ends) - maxListedUnknown; more > 0 {
 		p.line("and %d earlier ones, see --output json", more)
 	}
 }
@@ -128,16 +129,16 @@
 func (p *printer) unplaced(all []Unplaced) {
 	for _, u := range all {
 		p.line("not placed in time: %d requests received between %s and %s",
-			u.Received, u.From.UTC().Format(timeForm), u.To.UTC().Format(timeForm))
+			u.Received, u.From.UTC().Format(timeFormat), u.To.UTC().Format(timeFormat))
 	}
 }
 
-func number(n uint64) string { return strconv.FormatUint(n, 10) }
+func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
 
-func signed(n int64) string { return strconv.FormatInt(n, 10) }
+func formatInt(n int64) string { return strconv.FormatInt(n, 10) }
 
-// short shows a duration with about three digits.
-func short(d time.Duration) string {
+// roundDuration formats a duration with about three significant digits.
+func roundDuration(d time.Duration) string {
 	switch {
 	case d >= time.Minute:
 		return d.Round(time.Second).String()
--- a/ledger/series.go
+++ b/ledger/series.go
@@ -6,12 +6,12 @@
 	"celeryport/request"
 )
 
-// Series names one set of counters.
+// Series identifies one set of counters.
 type Series struct {
 	Organisation string
 	Class        string
 	Kind         request.Kind
-	Target       string // model or service
+	Target       string // name of a model or service
 }
 
 // Compare orders series for reports.
--- a/ledger/size_test.go
+++ b/ledger/size_test.go
@@ -12,7 +12,8 @@
 	"celeryport/wal"
 )
 
-// wideTree has so many organisations, each in five classes.
+// wideTree returns a settings tree with the given number of organisations and five
+// classes.
 func wideTree(b *testing.B, organisations int) *settings.Tree {
 	b.Helper()
 	var text strings.Builder
@@ -30,8 +31,8 @@
 	return tree
 }
 
-// serveWide serves n requests spread over all series, with latencies as a load
-// has them.
+// serveWide serves n requests spread over all series, with latencies as under real
+// load.
 func serveWide(a *Account, first, n, organisations int) {
 	for i := first; i < first+n; i++ {
 		r := &request.Request{
@@ -49,23 +50,23 @@
 	}
 }
 
-// BenchmarkCopy gives the size and the cost of one copy by the requests since
-// the last one, for 260 organisations in five classes.
+// BenchmarkCopy measures the size and the CPU time of one copy by the number of
+// requests since the previous one, for 260 organisations in five classes.
 func BenchmarkCopy(b *testing.B) {
 	const organisations = 260
 	for _, requests := range []int{0, 32, 160, 960} {
 		b.Run(fmt.Sprint(requests, "-requests"), func(b *testing.B) {
-			account := NewAccount(ID{"instance-1", 1}, testStart, silent())
+			account := NewAccount(ID{"instance-1", 1}, testStart, discardLogger())
 			account.Configure(wideTree(b, organisations))
 			serveWide(account, 0, 20_000, organisations)
-			sequence := account.Take(testStart, 0).To
+			sequence := account.Snapshot(testStart, 0).To
 			size, next := 0, 20_000
 			for b.Loop() {
 				b.StopTimer()
 				serveWide(account, next, requests, organisations)
 				next += requests
 				b.StartTimer()
-				c := account.Take(testStart, sequence)
+				c := account.Snapshot(testStart, sequence)
 				encoded, err := encode(c)
 				if err != nil {
 					b.Fatal(err)
@@ -77,15 +78,14 @@
 	}
 }
 
-// BenchmarkMerge gives what one synced copy costs a voter, and what the state of
-// one instance takes in its memory.
+// BenchmarkMerge measures the cost of merging and syncing one copy on a voter.
 func BenchmarkMerge(b *testing.B) {
 	const organisations, requests = 260, 160
-	book, err := OpenBook(b.TempDir(), wal.OS{}, silent(), fixedClock{testStart})
+	book, err := OpenBook(b.TempDir(), wal.OS{}, discardLogger(), fixedClock{testStart})
 	if err != nil {
 		b.Fatal(err)
 	}
-	account := NewAccount(ID{"instance-1", 1}, testStart, silent())
+	account := NewAccount(ID{"instance-1", 1}, testStart, discardLogger())
 	account.Configure(wideTree(b, organisations))
 	next := 0
 	var position []byte
@@ -104,7 +104,7 @@
 	}
 }
 
-// BenchmarkState gives the memory of the state of a voter by instances.
+// BenchmarkState measures the memory of a voter's state by the number of instances.
 func BenchmarkState(b *testing.B) {
 	const organisations, requests = 260, 20_000
 	for _, instances := range []int{1, 4} {
@@ -116,10 +116,10 @@
 				runtime.ReadMemStats(&before)
 				state := NewState()
 				for i := range instances {
-					account := NewAccount(ID{fmt.Sprint("instance-", i), 1}, testStart, silent())
+					account := NewAccount(ID{fmt.Sprint("instance-", i), 1}, testStart, discardLogger())
 					account.Configure(tree)
 					serveWide(account, 0, requests, organisations)
-					state.Apply(account.Take(testStart, 0))
+					state.Apply(account.Snapshot(testStart, 0))
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&after)
--- a/ledger/skew.go
+++ b/ledger/skew.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// mostSkew is how far the clock of an instance may be from that of the voter
-// that takes its copy.
-const mostSkew = time.Minute
+// maxClockSkew is the largest accepted difference between the clock of an instance
+// and that of the voter that receives its copy.
+const maxClockSkew = time.Minute
 
-// correctClock puts the time of the receiver in place of one that is far off. A
-// clock that runs days ahead would otherwise place growth where no window ends,
-// and make all that others counted look old enough to be dropped.
+// correctClock replaces the time of a copy by that of the receiver if they differ
+// by more than maxClockSkew. A clock that is days ahead would otherwise place
+// growth outside all report windows, and the counters of other instances would
+// appear old enough to be dropped.
 func (c *Copy) correctClock(now time.Time) (corrected bool) {
-	if c.At.Sub(now).Abs() <= mostSkew {
+	if c.At.Sub(now).Abs() <= maxClockSkew {
 		return false
 	}
 	c.At = now
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// placeable is the longest span of a copy whose growth is placed in time at its
-// end. What a voter learns in one lump about a longer span, since it was away
-// or lost its disk, would otherwise look like a burst at its return.
-const placeable = 2 * time.Minute
+// maxPlaceableSpan is the longest span of a copy whose growth is attributed to the
+// end of the span. A voter that was unavailable or lost its disk receives a single
+// copy of a longer span, which would otherwise look like a burst of requests at
+// the time of the copy.
+const maxPlaceableSpan = 2 * time.Minute
 
-// maxLumps bounds the lumps that are kept apart; beyond it the oldest two become one.
+// maxLumps bounds the number of lumps; beyond it, the two oldest are merged.
 const maxLumps = 32
 
-// Incarnation is what is known of one incarnation of one instance.
+// Incarnation holds the counters of one incarnation of one instance.
 type Incarnation struct {
 	Sequence uint64
 	Started  time.Time
@@ -22,20 +23,21 @@
 	Series   map[Series]*Counters
 }
 
-// Lump is growth that can't be placed in time any closer than From to At.
+// Lump is growth over a span too long for it to be placed in time more precisely
+// than between From and At.
 type Lump struct {
 	From   time.Time
 	At     time.Time
 	Series map[Series]*Counters
 }
 
-// State is everything that a voter knows of the accounts of all instances. It
-// is a pure type.
+// State holds what a voter has received of the accounts of all instances. It does
+// no I/O and reads no clock.
 type State struct {
 	Incarnations map[ID]*Incarnation
 	Windows      *Windows
 	Lumps        []Lump
-	DroppedUpTo  time.Time // newest end of an incarnation that was dropped for its age, zero: none
+	DroppedUpTo  time.Time // last copy of the newest incarnation dropped because of its age; zero: none
 }
 
 // NewState returns an empty state.
@@ -43,60 +45,60 @@
 	return &State{Incarnations: map[ID]*Incarnation{}, Windows: newWindows()}
 }
 
-// Applies reports whether a copy would change the state: neither one that it
-// already has, nor one with a gap before it.
+// Applies reports whether a copy can be applied: it is newer than the state and
+// leaves no gap in the sequence numbers.
 func (s *State) Applies(c *Copy) bool {
 	known := s.sequence(c.ID)
 	return c.From <= known && c.To > known
 }
 
-// Apply takes a copy in and returns the sequence number up to which the account
-// is known now. A copy with a gap before it is not taken: its counters would not
-// belong to one moment, and the equation of a series might not hold.
+// Apply applies a copy and returns the sequence number up to which the account is
+// now known. A copy that leaves a gap is ignored: its counters would mix different
+// points in time, and the equation of Report might not hold for a series.
 func (s *State) Apply(c *Copy) uint64 {
 	if s.Applies(c) {
-		s.take(c)
+		s.applyUnchecked(c)
 	}
 	return s.sequence(c.ID)
 }
 
-// take takes a copy in that is known to apply.
-func (s *State) take(c *Copy) {
-	known := s.incarnation(c)
-	lump := Lump{From: known.At, At: c.At}
+// applyUnchecked applies a copy without checking its sequence numbers.
+func (s *State) applyUnchecked(c *Copy) {
+	inc := s.incarnation(c)
+	lump := Lump{From: inc.At, At: c.At}
 	for i := range c.Series {
-		s.raise(known, &c.Series[i], &lump)
+		s.raiseCounters(inc, &c.Series[i], &lump)
 	}
-	s.keepLump(lump)
-	known.Sequence = c.To
-	known.At = c.At
-	known.Final = c.Final
+	s.addLump(lump)
+	inc.Sequence = c.To
+	inc.At = c.At
+	inc.Final = c.Final
 }
 
 func (s *State) sequence(id ID) uint64 {
-	if known := s.Incarnations[id]; known != nil {
-		return known.Sequence
+	if inc := s.Incarnations[id]; inc != nil {
+		return inc.Sequence
 	}
 	return 0
 }
 
 func (s *State) incarnation(c *Copy) *Incarnation {
-	known := s.Incarnations[c.ID]
-	if known == nil {
-		known = &Incarnation{Started: c.Started, At: c.Started, Series: map[Series]*Counters{}}
-		s.Incarnations[c.ID] = known
+	inc := s.Incarnations[c.ID]
+	if inc == nil {
+		inc = &Incarnation{Started: c.Started, At: c.Started, Series: map[Series]*Counters{}}
+		s.Incarnations[c.ID] = inc
 	}
-	return known
+	return inc
 }
 
-func (s *State) raise(known *Incarnation, sc *SeriesCopy, lump *Lump) {
-	counters := known.Series[sc.Series]
+func (s *State) raiseCounters(inc *Incarnation, sc *SeriesCopy, lump *Lump) {
+	counters := inc.Series[sc.Series]
 	if counters == nil {
 		counters = &Counters{}
-		known.Series[sc.Series] = counters
+		inc.Series[sc.Series] = counters
 	}
 	growth := counters.Raise(&sc.Counters)
-	if lump.At.Sub(lump.From) <= placeable {
+	if lump.At.Sub(lump.From) <= maxPlaceableSpan {
 		s.Windows.Add(lump.At, sc.Series, &growth)
 		return
 	}
@@ -106,19 +108,19 @@
 	lump.Series[sc.Series] = &growth
 }
 
-func (s *State) keepLump(lump Lump) {
+func (s *State) addLump(lump Lump) {
 	if lump.Series == nil {
 		return
 	}
 	s.Lumps = append(s.Lumps, lump)
 	slices.SortStableFunc(s.Lumps, func(a, b Lump) int { return a.At.Compare(b.At) })
 	if len(s.Lumps) > maxLumps {
-		s.Lumps[1].join(s.Lumps[0])
+		s.Lumps[1].merge(s.Lumps[0])
 		s.Lumps = s.Lumps[1:]
 	}
 }
 
-func (l *Lump) join(other Lump) {
+func (l *Lump) merge(other Lump) {
 	if other.From.Before(l.From) {
 		l.From = other.From
 	}
@@ -127,12 +129,12 @@
 	}
 }
 
-// Copies returns the whole state of each incarnation as a copy from 0, in a
-// fixed order.
+// Copies returns the whole account of each incarnation as a copy from 0, in a fixed
+// order.
 func (s *State) Copies() []*Copy {
 	copies := make([]*Copy, 0, len(s.Incarnations))
-	for id, known := range s.Incarnations {
-		copies = append(copies, known.copy(id))
+	for id, inc := range s.Incarnations {
+		copies = append(copies, inc.copy(id))
 	}
 	slices.SortFunc(copies, func(a, b *Copy) int { return a.ID.Compare(b.ID) })
 	return copies
--- a/ledger/store.go
+++ b/ledger/store.go
@@ -1,9 +1,9 @@
 package ledger
 
-// Store keeps the counters of all instances on a voter, under its data folder.
-// Control calls Merge for each CopyLedger that arrives, on a traffic goroutine.
+// Store stores the counters of all instances on a voter. The control server calls
+// Merge for each CopyLedger call that it receives, from the goroutine of that call.
 type Store interface {
-	// Merge takes an encoded copy from an instance and returns the encoded
-	// position up to which the copy is synced here.
+	// Merge merges an encoded copy from an instance and returns the encoded position
+	// up to which the account is synced to disk.
 	Merge(encodedCopy []byte) (position []byte, err error)
 }
--- a/ledger/trim.go
+++ b/ledger/trim.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// How long what an incarnation counted is kept after its last copy. Without a
-// bound the books would grow with every restart of any instance for ever.
+// Retention periods of an incarnation's counters, from its last copy. Without them,
+// the state would grow without bound, by one incarnation for each restart of any
+// instance.
 const (
-	keepLatencies = 7 * 24 * time.Hour
-	keepCounts    = 92 * 24 * time.Hour // longer than the longest period of an error budget
+	latencyRetention = 7 * 24 * time.Hour
+	countRetention   = 92 * 24 * time.Hour // longer than the longest error budget period
 )
 
-// Trim drops what is too old: first the latencies of an incarnation, which are
-// most of it, later all of it. Windows have bounds of their own.
+// Trim drops expired counters: first the latencies of an incarnation, which take up
+// most of the space, and later the whole incarnation. Windows are bounded
+// separately.
 func (s *State) Trim(now time.Time) {
-	for id, known := range s.Incarnations {
-		switch age := now.Sub(known.At); {
-		case age > keepCounts:
+	for id, inc := range s.Incarnations {
+		switch age := now.Sub(inc.At); {
+		case age > countRetention:
 			delete(s.Incarnations, id)
-			s.noteDropped(known.At)
-		case age > keepLatencies:
-			known.dropLatencies()
+			s.recordDropped(inc.At)
+		case age > latencyRetention:
+			inc.dropLatencies()
 		}
 	}
 }
 
-// noteDropped remembers the newest end among the dropped incarnations, so that
-// a report over everything can say what is not in it.
-func (s *State) noteDropped(at time.Time) {
+// recordDropped records the time of the newest dropped incarnation, so that a report
+// without Since can state what it lacks.
+func (s *State) recordDropped(at time.Time) {
 	if at.After(s.DroppedUpTo) {
 		s.DroppedUpTo = at
 	}
--- a/ledger/trim_test.go
+++ b/ledger/trim_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// stateAt returns a state with one incarnation that served ten requests and
-// whose last copy is of a time.
+// stateAt returns a state with one incarnation that served ten requests and whose
+// last copy was made at the given time.
 func stateAt(t *testing.T, at time.Time) *State {
 	t.Helper()
 	account := testAccount(t, ID{"one", 1}, at.Add(-time.Second))
 	serveMany(account, 0, 10)
 	account.Close()
 	state := NewState()
-	state.Apply(account.Take(at, 0))
+	state.Apply(account.Snapshot(at, 0))
 	return state
 }
 
-func TestTrimDropsFirstLatenciesThenCounts(t *testing.T) {
+func TestTrimDropsLatenciesBeforeCounts(t *testing.T) {
 	const day = 24 * time.Hour
 	cases := []struct {
 		age       time.Duration
@@ -37,11 +37,11 @@
 	}
 }
 
-// The clock of one instance runs a year ahead. If voters took its time, all that
-// the other instances counted would look a year old, be dropped, and be missing
-// in every window.
-func TestWrongClockOfAnInstanceHarmsNobody(t *testing.T) {
-	book := openBook(t, t.TempDir(), brokenDisk{full: new(bool)})
+// The clock of one instance is a year ahead. If voters adopted its time, the counters
+// of all other instances would appear a year old, be dropped, and be missing from
+// every window.
+func TestWrongClockOfOneInstanceDoesNotAffectOthers(t *testing.T) {
+	book := openBook(t, t.TempDir(), fullDisk{full: new(bool)})
 	right := testAccount(t, ID{"right", 1}, testStart)
 	wrong := testAccount(t, ID{"wrong", 1}, testStart.Add(365*24*time.Hour))
 	serveMany(right, 0, 10)
--- a/ledger/unknown.go
+++ b/ledger/unknown.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// unknownEnds lists the incarnations whose end is not known: an instance that
-// is killed takes with it what it had not copied. Without this list the report
-// would show less than happened and nobody could tell.
+// unknownEnds lists the incarnations whose final counters are unknown. An instance
+// that is killed loses the counters that it had not copied yet; this list shows that
+// a report may be incomplete.
 func unknownEnds(in *ReportInput) []UnknownEnd {
 	ends := []UnknownEnd{}
-	for id, known := range in.State.Incarnations {
-		if in.Live[id] || known.Final || in.superseded(id, known) {
+	for id, inc := range in.State.Incarnations {
+		if in.Live[id] || inc.Final || in.superseded(id, inc) {
 			continue
 		}
 		ends = append(ends, UnknownEnd{
 			Instance:    id.Instance,
 			Incarnation: id.Incarnation,
-			Since:       known.At,
-			InFlight:    known.inFlight(),
+			Since:       inc.At,
+			InFlight:    inc.inFlight(),
 			Reason:      in.endReason(id),
 		})
 	}
@@ -33,10 +33,10 @@
 	return ends
 }
 
-// superseded reports whether an incarnation had ended before the report begins:
-// its instance runs again, and its last copy is older.
-func (in *ReportInput) superseded(id ID, known *Incarnation) bool {
-	if in.Query.Since.IsZero() || !known.At.Before(in.Query.Since) {
+// superseded reports whether an incarnation ended before the start of the report:
+// its last copy is older than that, and a later incarnation of the instance is live.
+func (in *ReportInput) superseded(id ID, inc *Incarnation) bool {
+	if in.Query.Since.IsZero() || !inc.At.Before(in.Query.Since) {
 		return false
 	}
 	for live := range in.Live {
--- a/ledger/window.go
+++ b/ledger/window.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// tier is one resolution in which growth is kept over time.
+// tier is one time resolution at which growth is stored.
 type tier struct {
-	width time.Duration
-	keep  int  // cells
-	bins  bool // with latencies
+	width    time.Duration
+	maxCells int
+	hasBins  bool // stores latency bins
 }
 
-// tiers, from fine to coarse: minutes for the fast burn windows, hours for the
-// slow ones, days for the longest period of an error budget.
+// tiers lists the resolutions from fine to coarse: minutes for the short burn rate
+// windows, hours for the long ones, and days for the longest error budget period.
 var tiers = [...]tier{
-	{width: time.Minute, keep: 6*60 + 1},
-	{width: time.Hour, keep: 3*24 + 1, bins: true},
-	{width: 24 * time.Hour, keep: 91, bins: true},
+	{width: time.Minute, maxCells: 6*60 + 1},
+	{width: time.Hour, maxCells: 3*24 + 1, hasBins: true},
+	{width: 24 * time.Hour, maxCells: 91, hasBins: true},
 }
 
 const hourTier = 1
@@ -22,9 +22,9 @@
 // cell is the growth of all series in one unit of time.
 type cell map[Series]*Counters
 
-// Windows keep how the counters of the whole fleet grew over time.
+// Windows stores the growth of the counters of the whole fleet over time.
 type Windows struct {
-	Cells [len(tiers)]map[int64]cell // by number of the unit since 1970
+	Cells [len(tiers)]map[int64]cell // by number of units since the Unix epoch
 }
 
 func newWindows() *Windows {
@@ -35,7 +35,7 @@
 	return w
 }
 
-// Add places the growth of one series at a time.
+// Add adds the growth of one series at a point in time.
 func (w *Windows) Add(at time.Time, name Series, growth *Counters) {
 	counts := growth.withoutBins()
 	for i, t := range tiers {
@@ -44,7 +44,7 @@
 			w.Cells[i][number] = cell{}
 			w.prune(i, number)
 		}
-		if t.bins {
+		if t.hasBins {
 			w.Cells[i][number].add(name, growth)
 		} else {
 			w.Cells[i][number].add(name, &counts)
@@ -52,10 +52,11 @@
 	}
 }
 
-// prune drops the cells that are too old, seen from the newest. A cell that is
-// far in the future, from a wrong clock, must not drop all others.
+// prune drops the oldest cell of a tier that exceeds its bound. Cells are dropped by
+// number rather than by age, so that a cell far in the future, caused by a wrong
+// clock, does not drop all others.
 func (w *Windows) prune(i int, newest int64) {
-	if len(w.Cells[i]) <= tiers[i].keep {
+	if len(w.Cells[i]) <= tiers[i].maxCells {
 		return
 	}
 	oldest := newest
@@ -65,20 +66,21 @@
 	delete(w.Cells[i], oldest)
 }
 
-// Since returns the growth since a time, and the time from which it counts: the
-// beginning of the unit that holds it in the finest tier that still has it.
+// Since returns the growth since a time and the time at which the sum actually
+// starts. It uses the finest tier that still covers the time, and starts at the
+// beginning of the unit that contains it.
 func (w *Windows) Since(from, now time.Time) (growth map[Series]*Counters, start time.Time) {
 	return w.sum(w.tierFor(0, from, now), from)
 }
 
-// LatenciesSince is Since in a tier that holds latencies.
+// LatenciesSince is like Since, but uses only tiers that store latencies.
 func (w *Windows) LatenciesSince(from, now time.Time) (growth map[Series]*Counters, start time.Time) {
 	return w.sum(w.tierFor(hourTier, from, now), from)
 }
 
 func (w *Windows) tierFor(finest int, from, now time.Time) int {
 	for i := finest; i < len(tiers); i++ {
-		if tiers[i].number(now)-tiers[i].number(from) < int64(tiers[i].keep) {
+		if tiers[i].number(now)-tiers[i].number(from) < int64(tiers[i].maxCells) {
 			return i
 		}
 	}
--- a/metrics/control.go
+++ b/metrics/control.go
@@ -42,7 +42,7 @@
 		return
 	}
 	controlLeaseSeconds.send(to, max(0, view.LeaseUntil.Sub(c.clock.Now()).Seconds()))
-	controlQuorum.send(to, oneIf(view.HasQuorum))
+	controlQuorum.send(to, boolToFloat(view.HasQuorum))
 	controlRevision.send(to, float64(revision(view)))
 	collectInstances(view, to)
 	collectUpstreams(view, to)
@@ -83,7 +83,7 @@
 	}
 }
 
-func oneIf(yes bool) float64 {
+func boolToFloat(yes bool) float64 {
 	if yes {
 		return 1
 	}
--- a/metrics/metric.go
+++ b/metrics/metric.go
@@ -24,7 +24,7 @@
 }
 
 // all lists the metrics, for docs/METRICS.md.
-var all []*metric
+var registered []*metric
 
 func define(kind prometheus.ValueType, subsystem, name, help string, labels ...string) *metric {
 	m := &metric{
@@ -34,7 +34,7 @@
 		labels: labels,
 	}
 	m.desc = prometheus.NewDesc(m.name, help, labels, nil)
-	all = append(all, m)
+	registered = append(registered, m)
 	return m
 }
 
@@ -55,7 +55,7 @@
 	to <- prometheus.MustNewConstMetric(m.desc, m.kind, value, labels...)
 }
 
-func (m *metric) sendHistogram(to chan<- prometheus.Metric, h *buckets, labels ...string) {
+func (m *metric) sendHistogram(to chan<- prometheus.Metric, h *histogramBuckets, labels ...string) {
 	to <- prometheus.MustNewConstHistogram(m.desc, h.count, h.sum, h.cumulative, labels...)
 }
 
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -21,11 +21,11 @@
 	"celeryport/verdict"
 )
 
-const tree = "[organisation.atelier]\n[class.counter]\nfirst_token = 1s\n[length.short]\nup_to = 4k\n[model.sarto]\n[service.cassa]\n"
+const testTree = "[organisation.atelier]\n[class.counter]\nfirst_token = 1s\n[length.short]\nup_to = 4k\n[model.sarto]\n[service.cassa]\n"
 
 func newAccount(t *testing.T) *ledger.Account {
 	t.Helper()
-	parsed, err := settings.ParseTree("tree.ini", []byte(tree))
+	parsed, err := settings.ParseTree("tree.ini", []byte(testTree))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 	return account
 }
 
-func countSome(account *ledger.Account) {
+func recordRequests(account *ledger.Account) {
 	for i := range 10 {
 		r := &request.Request{ID: fmt.Sprint(i), Organisation: "atelier", Class: "counter", Target: "sarto"}
 		account.Received(r)
@@ -53,9 +53,9 @@
 	}
 }
 
-func TestMetricsAreThoseOfTheLedger(t *testing.T) {
+func TestMetricsMatchTheLedger(t *testing.T) {
 	account := newAccount(t)
-	countSome(account)
+	recordRequests(account)
 	const want = `
 # HELP celeryport_objective_first_token_missed_total Answers to short prompts whose first token came after the bound of the class.
 # TYPE celeryport_objective_first_token_missed_total counter
@@ -90,7 +90,7 @@
 // Callers send whatever they like as organisation, class and model. If each made
 // a time series of its own, one caller could fill the memory of the instance and
 // of whoever collects its metrics.
-func TestMadeUpNamesDoNotMakeTimeSeries(t *testing.T) {
+func TestUnknownNamesDoNotCreateTimeSeries(t *testing.T) {
 	account := newAccount(t)
 	for i := range 1000 {
 		name := fmt.Sprint("made-up-", i)
@@ -106,7 +106,7 @@
 
 func TestHandlerAnswers(t *testing.T) {
 	account := newAccount(t)
-	countSome(account)
+	recordRequests(account)
 	view := &control.View{HasQuorum: true}
 	registry := NewRegistry(Sources{
 		Account: account,
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestPageNamesTheMetricsThatAreExposed(t *testing.T) {
+func TestMetricsPageMatchesExposedMetrics(t *testing.T) {
 	page, err := os.ReadFile("../docs/METRICS.md")
 	if err != nil {
 		t.Fatal(err)
@@ -139,7 +139,7 @@
 		t.Errorf("docs/METRICS.md must hold this table:\n%s", Table())
 	}
 	exposed := map[string]bool{}
-	for _, m := range all {
+	for _, m := range registered {
 		exposed[m.name] = true
 	}
 	suffix := regexp.MustCompile(`_(bucket|sum|count)$`)
--- a/metrics/requests.go
+++ b/metrics/requests.go
@@ -83,14 +83,14 @@
 // Collect implements prometheus.Collector.
 func (r *Requests) Collect(to chan<- prometheus.Metric) {
 	groups := map[group]*ledger.Counters{}
-	for _, s := range r.account.Take(r.clock.Now(), 0).Series {
+	for _, s := range r.account.Snapshot(r.clock.Now(), 0).Series {
 		key := group{s.Series.Organisation, s.Series.Class}
 		if groups[key] == nil {
 			groups[key] = &ledger.Counters{}
 		}
 		groups[key].AddAll(&s.Counters)
 	}
-	latencies := map[latency]*buckets{}
+	latencies := map[latency]*histogramBuckets{}
 	for key, counters := range groups {
 		key.collect(counters, to)
 		key.addLatencies(counters, latencies)
@@ -131,7 +131,7 @@
 	length ledger.Length
 }
 
-func (g group) addLatencies(c *ledger.Counters, to map[latency]*buckets) {
+func (g group) addLatencies(c *ledger.Counters, to map[latency]*histogramBuckets) {
 	for i, f := range c.Fields {
 		if latencyHistograms[f.Kind()] == nil {
 			continue
@@ -144,7 +144,7 @@
 	}
 }
 
-func (l latency) send(h *buckets, to chan<- prometheus.Metric) {
+func (l latency) send(h *histogramBuckets, to chan<- prometheus.Metric) {
 	m := latencyHistograms[l.kind]
 	if len(m.labels) == 1 {
 		m.sendHistogram(to, h, l.class)
--- a/metrics/table.go
+++ b/metrics/table.go
@@ -10,7 +10,7 @@
 func Table() string {
 	var b strings.Builder
 	b.WriteString("| Metric | Type | Labels | Meaning |\n|---|---|---|---|\n")
-	sorted := slices.SortedFunc(slices.Values(all), func(a, b *metric) int { return strings.Compare(a.name, b.name) })
+	sorted := slices.SortedFunc(slices.Values(registered), func(a, b *metric) int { return strings.Compare(a.name, b.name) })
 	for _, m := range sorted {
 		fmt.Fprintf(&b, "| %s | %s | %s | %s |\n", m.name, m.kindName(), strings.Join(m.labels, ", "), m.help)
 	}
