--- a/accounting/burn.go
+++ b/accounting/burn.go
@@ -22,7 +22,7 @@
 	textType       = "text/plain; charset=utf-8"
 )
 
-// Burn computes the burn over all instances.
+// Burn computes the error budget burn over all instances.
 func (r *Reporter) Burn(ctx context.Context) (*burn.Table, error) {
 	view := r.opts.View()
 	if view == nil || view.Tree == nil {
@@ -42,8 +42,9 @@
 	return encodeBody(table)
 }
 
-// BurnHandler answers GET /burn for operators: a page, or with ?output=json or
-// ?output=text the table.
+// BurnHandler returns the handler of GET /burn, which requires an operator key. It
+// responds with an HTML page, or with a table if ?output=json or ?output=text is
+// given.
 func (r *Reporter) BurnHandler(operatorKeys []string) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		header := string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
@@ -56,7 +57,8 @@
 	}
 }
 
-// presentedKey reads a bearer token, or the password that a browser asks for.
+// presentedKey returns the key of an Authorization header: a bearer token, or the
+// password of basic authentication, which browsers use.
 func presentedKey(header string) string {
 	if key, found := strings.CutPrefix(header, bearerPrefix); found {
 		return key
--- a/accounting/burn_test.go
+++ b/accounting/burn_test.go
@@ -39,7 +39,7 @@
 				t.Errorf("no %q in %.200s", c.want, ctx.Response.Body())
 			}
 			if c.status == http.StatusUnauthorized && len(ctx.Response.Header.Peek(fasthttp.HeaderWWWAuthenticate)) == 0 {
-				t.Error("a browser is not asked for the key")
+				t.Error("no WWW-Authenticate header, so browsers do not prompt for the key")
 			}
 		})
 	}
--- a/accounting/copier.go
+++ b/accounting/copier.go
@@ -15,14 +15,14 @@
 	"celeryport/rpc"
 )
 
-// The intervals of the copies. What an instance counted after its last copy is
-// unknown when it is killed.
+// Defaults for copies to the voters. If an instance is killed, the requests that it
+// counted after its last copy are unknown.
 const (
 	DefaultInterval = 2 * time.Second
 	DefaultTimeout  = 3 * time.Second
 )
 
-// CopierOptions set up a Copier. Log, Account, Clients and View must be set.
+// CopierOptions configure a Copier. Log, Account, Clients and View are required.
 type CopierOptions struct {
 	Log      logrus.FieldLogger
 	Account  ledger.Source
@@ -30,7 +30,7 @@
 	View     func() *control.View
 	Interval time.Duration // zero: DefaultInterval
 	Timeout  time.Duration // of one copy; zero: DefaultTimeout
-	Clock    clock.Clock   // nil: the machine's
+	Clock    clock.Clock   // nil: the system clock
 }
 
 // Copier copies the account of this instance to every voter.
@@ -39,10 +39,10 @@
 	send func(ctx context.Context, address string, encoded []byte) (*rpc.LedgerResponse, error)
 
 	mu            sync.Mutex
-	positions     map[string][]byte // what each voter has, by control address
+	positions     map[string][]byte // last position returned by each voter, by control address
 	failing       map[string]bool
-	inProgress    map[string]bool // a copy to the voter is under way
-	fullyCopiedAt time.Time       // when a voter last had everything
+	inProgress    map[string]bool // voters to which a copy is in progress
+	fullyCopiedAt time.Time       // when any voter last had all counters
 }
 
 // NewCopier returns a copier that has copied nothing yet.
@@ -62,16 +62,15 @@
 	return c
 }
 
-// Age is the time since a voter last had everything that was counted.
+// Age returns the time since any voter last had all counters of this instance.
 func (c *Copier) Age() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.opts.Clock.Now().Sub(c.fullyCopiedAt)
 }
 
-// Run copies until the context ends. Flush makes the first copy before the first
-// request, so that the voters know of this incarnation, and the last one
-// afterwards.
+// Run copies at every interval until the context ends. Call Flush before the first
+// request, so that the voters know of this incarnation, and again after Run.
 func (c *Copier) Run(ctx context.Context) {
 	ticker := time.NewTicker(c.opts.Interval)
 	defer ticker.Stop()
@@ -87,9 +86,9 @@
 	}
 }
 
-// copyToIdle begins a copy to every voter to which none is under way. One that
-// hangs, on a connection gone silent, must not keep the counters from the others:
-// were this instance killed then, more would be unknown than need be.
+// copyToIdleVoters starts a copy to every voter to which no copy is in progress. A
+// copy that hangs on an unresponsive connection must not delay copies to the other
+// voters, or more requests would be unknown if this instance were killed.
 func (c *Copier) copyToIdleVoters(ctx context.Context, group *sync.WaitGroup) {
 	for _, address := range c.voters() {
 		if !c.begin(address) {
@@ -118,7 +117,8 @@
 	delete(c.inProgress, address)
 }
 
-// Flush copies to all voters once, and returns how many of them have everything.
+// Flush copies to all voters once and returns the number of voters that have all
+// counters.
 func (c *Copier) Flush(ctx context.Context) int {
 	voters := c.voters()
 	stored := make([]bool, len(voters))
@@ -150,8 +150,9 @@
 	return addresses
 }
 
-// exchanges is how many copies bring a voter up to date: if it lacks what came
-// before the first one, its answer says so, and the second starts from there.
+// maxExchanges is the number of copies needed to bring a voter up to date. If the
+// first copy leaves a gap, the voter returns its actual position, and the second
+// copy starts from there.
 const maxExchanges = 2
 
 func (c *Copier) copyTo(ctx context.Context, address string) bool {
@@ -186,7 +187,7 @@
 	return nil
 }
 
-// call is send over the control protocol.
+// call implements send with the control protocol.
 func (c *Copier) call(ctx context.Context, address string, encoded []byte) (*rpc.LedgerResponse, error) {
 	response, err := c.opts.Clients.At(address).CopyLedger(ctx, &rpc.LedgerRequest{Copy: encoded})
 	return response, rpc.FromTwirp(err)
@@ -206,8 +207,8 @@
 	}
 }
 
-// note logs when copies to a voter begin to fail and when they succeed again,
-// not every one between.
+// logTransition logs when copies to a voter start to fail and when they succeed
+// again, rather than logging each failed copy.
 func (c *Copier) logTransition(address string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/accounting/copier_test.go
+++ b/accounting/copier_test.go
@@ -9,9 +9,9 @@
 	"celeryport/rpc"
 )
 
-// The connection to one voter has gone silent: copies leave and no answer comes.
-// If that held up the copies to the other voters, a killed instance would leave
-// behind seconds of requests that nobody can report.
+// One voter does not answer copies. If that delayed the copies to the other voters,
+// several seconds of requests would be missing from reports after the instance is
+// killed.
 func TestUnresponsiveVoterDoesNotDelayCopiesToOthers(t *testing.T) {
 	f := newFleetOf(t, 2, 1)
 	synctest.Test(t, func(t *testing.T) {
--- a/accounting/differential_test.go
+++ b/accounting/differential_test.go
@@ -12,26 +12,28 @@
 	"celeryport/verdict"
 )
 
-// entry is one request as its caller and its upstream saw it.
+// journalEntry records one request as observed by its caller and its upstream.
 type journalEntry struct {
 	request  *request.Request
 	instance ledger.ID
-	ended    string // what the caller was told, empty: nothing yet
+	ended    string // outcome that the caller received, empty: none yet
 	executed bool   // by the upstream
 
-	copied    bool   // its receipt is on the disk of a voter
-	copiedEnd string // and this end
+	copied    bool   // a voter has stored that the request was received
+	copiedEnd string // outcome that this voter has stored
 }
 
-// journal is kept apart from the ledger, by those outside of the fleet.
+// journal records requests independently of the ledger, as callers and upstreams
+// would.
 type journal struct {
 	entries []*journalEntry
 }
 
-// tally is what the journal has for an organisation and class.
+// tally counts the requests of one organisation and class in the journal.
 type tally struct{ received, served, refused, failed, executed uint64 }
 
-// tally adds up what a state says of each entry.
+// tally counts the entries of an organisation and class, with the outcome that
+// state returns for each entry.
 func (j *journal) tally(organisation, class string, state func(*journalEntry) (received bool, ended string)) tally {
 	var t tally
 	for _, e := range j.entries {
@@ -55,7 +57,7 @@
 	return t
 }
 
-// differential drives a fleet and a journal by one seeded source.
+// differential drives a fleet and a journal from one seeded random source.
 type differential struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -103,7 +105,7 @@
 	d.open = append(d.open[:n], d.open[n+1:]...)
 	i := d.running(e.instance)
 	if i == nil {
-		return // the caller's connection broke, and it was told nothing
+		return // the connection broke before the caller received an outcome
 	}
 	switch d.random.IntN(3) {
 	case 0:
@@ -130,7 +132,7 @@
 func (d *differential) flush() {
 	i := d.pickRunning()
 	if i.copier.Flush(context.Background()) == 0 {
-		d.t.Fatal("no voter has taken a copy")
+		d.t.Fatal("no voter accepted a copy")
 	}
 	for _, e := range d.journal.entries {
 		if e.instance == d.idOf(i) {
@@ -139,7 +141,8 @@
 	}
 }
 
-// killOne keeps one voter running: with all disks out of reach nobody can tell.
+// killRandom kills a random instance, but never the last running voter: without any
+// voter, no stored counters can be compared.
 func (d *differential) killRandom() {
 	i := d.pickRunning()
 	voters := 0
@@ -187,13 +190,13 @@
 		id := ledger.ID{Instance: u.Instance, Incarnation: u.Incarnation}
 		unknown[id] = true
 		if d.running(id) != nil {
-			d.t.Errorf("%v runs and is called unknown", id)
+			d.t.Errorf("%v is running but reported as unknown", id)
 		}
 	}
 	complete := len(report.MissingBooks) == 0
 	for id := range d.killed {
 		if complete && !unknown[id] {
-			d.t.Errorf("%v was killed and is not called unknown", id)
+			d.t.Errorf("%v was killed but is not reported as unknown", id)
 		}
 	}
 	for _, row := range report.Rows {
@@ -207,7 +210,7 @@
 		checkBetween(d.t, "refused", row.Refused, lower.refused, all.refused)
 		checkBetween(d.t, "failed", row.Failed, lower.failed, all.failed)
 		if complete && len(unknown) == 0 && all != lower {
-			d.t.Errorf("%s %s: the report lacks something and says nothing of it", row.Organisation, row.Class)
+			d.t.Errorf("%s %s: the report lacks requests and names no unknown instance", row.Organisation, row.Class)
 		}
 		if row.Served > all.executed {
 			d.t.Errorf("%d served, upstreams executed %d", row.Served, all.executed)
@@ -215,11 +218,12 @@
 	}
 }
 
-// seen is what callers saw.
+// observed returns the outcome that the caller observed.
 func observed(e *journalEntry) (received bool, ended string) { return true, e.ended }
 
-// known is the least that the report has to hold: everything of an instance that
-// runs, and of a killed one what a voter had taken, if all voters answer.
+// durable returns the minimum that the report has to contain: all requests of a
+// running instance and, if all voters answer, those requests of a killed instance
+// that were copied to a voter.
 func (d *differential) durable(complete bool) func(e *journalEntry) (received bool, ended string) {
 	return func(e *journalEntry) (received bool, ended string) {
 		if d.running(e.instance) != nil {
@@ -229,17 +233,17 @@
 	}
 }
 
-func checkBetween(t *testing.T, what string, got, minimum, maximum uint64) {
+func checkBetween(t *testing.T, name string, got, minimum, maximum uint64) {
 	t.Helper()
 	if got < minimum || got > maximum {
-		t.Errorf("%s: %d is not from %d to %d", what, got, minimum, maximum)
+		t.Errorf("%s: %d is not between %d and %d", name, got, minimum, maximum)
 	}
 }
 
-// Instances, voters among them, are killed and restarted while requests run, and
-// callers and upstreams keep a journal of their own. Where the report differs
-// from the journal it must name the instance of which it doesn't know the end;
-// otherwise an operator would bill or blame by wrong numbers.
+// Instances, including voters, are killed and restarted while requests run, and
+// callers and upstreams keep an independent journal. Where the report differs from
+// the journal, it must name the instance whose final counters are unknown; otherwise
+// operators would act on wrong numbers, for example when billing.
 func TestReportMatchesTheJournalOrNamesUnknownInstances(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/accounting/doc.go
+++ b/accounting/doc.go
@@ -1,4 +1,4 @@
 // Package accounting connects the ledger to the fleet: it copies the account of
-// this instance to the voters, and answers operators' reports from what all
-// instances know.
+// this instance to the voters and answers operators' requests for reports from the
+// counters of all instances.
 package accounting
--- a/accounting/fleet_test.go
+++ b/accounting/fleet_test.go
@@ -37,18 +37,18 @@
 	errConnectionLost = errors.New("no connection")
 )
 
-// testFleet is a fleet of accounts, copiers, books and reporters, joined by the
-// real protocol over connections in memory.
+// testFleet is a fleet of accounts, copiers, stores and reporters, which are
+// connected by the real protocol over in-memory connections.
 type testFleet struct {
 	now       time.Time
 	tree      *settings.Tree
 	log       logrus.FieldLogger
 	folder    func() string
-	noView    bool // no control group has named any instance
+	emptyView bool // views list no instances, as before the first contact with a control group
 	instances []*testInstance
 }
 
-// testInstance is one instance; it keeps its name over restarts.
+// testInstance is one instance. It keeps its name across restarts.
 type testInstance struct {
 	fleet       *testFleet
 	name        string
@@ -90,7 +90,7 @@
 
 func (f *testFleet) view() *control.View {
 	view := &control.View{Tree: f.tree}
-	if f.noView {
+	if f.emptyView {
 		return view
 	}
 	for _, i := range f.instances {
@@ -105,7 +105,7 @@
 	return view
 }
 
-// members are the voters as every process has them in its settings.
+// members returns the voters as listed in the process settings of every instance.
 func (f *testFleet) members() []settings.Member {
 	var members []settings.Member
 	for _, i := range f.instances {
@@ -149,7 +149,7 @@
 	i.clients = rpc.NewClients("example-only-instance", i.fleet.dial)
 	i.copier = NewCopier(CopierOptions{
 		Log: i.fleet.log, Account: i.account, Clients: i.clients, View: i.fleet.view, Clock: i.fleet,
-		Timeout: time.Hour, // a disk of a busy machine may take longer than the usual one
+		Timeout: time.Hour, // syncing on a busy machine may exceed the default time-out
 	})
 	i.reporter = NewReporter(ReporterOptions{
 		Log: i.fleet.log, Operations: i, View: i.fleet.view, Book: i.book, Address: i.address(), Clock: i.fleet,
@@ -163,8 +163,8 @@
 	i.copier.Flush(context.Background())
 }
 
-// kill ends the instance as a signal would: nothing is copied, and connections
-// break.
+// kill stops the instance like SIGKILL: without a final copy, and with its
+// connections broken.
 func (i *testInstance) kill() {
 	if !i.up {
 		return
@@ -197,7 +197,7 @@
 	return other.listener.Dial()
 }
 
-// testService takes the copies of accounts; nothing else is called.
+// testService implements only CopyLedger; no other method is called.
 type testService struct {
 	rpc.Control
 	instance *testInstance
--- a/accounting/gather.go
+++ b/accounting/gather.go
@@ -14,14 +14,15 @@
 	"celeryport/membership"
 )
 
-// dumpsAtOnce bounds the instances that a report asks at the same time.
+// maxConcurrentDumps bounds the number of instances that a report queries at the
+// same time.
 const maxConcurrentDumps = 16
 
-// knowledge is what all instances together know.
+// fleetState holds the combined counters of all instances that answered.
 type fleetState struct {
 	state  *ledger.State
 	live   map[ledger.ID]bool
-	listed map[ledger.ID]bool // true: alive for the control group
+	listed map[ledger.ID]bool // true: alive according to the control group
 
 	missingVoters []string // voters that did not answer
 }
@@ -37,14 +38,15 @@
 	}
 }
 
-// dumpAnswer is the JSON answer of the dump command. A report asks the other
-// instances by it; what does not answer in time shows as unknown, not as zero.
+// dumpAnswer is the JSON response to the dump command, which a report sends to all
+// other instances. An instance that does not answer in time is reported as unknown
+// rather than as zero.
 type dumpAnswer struct {
 	Account []byte `json:"own,omitempty"`
 	Book    []byte `json:"book,omitempty"`
 }
 
-// gather asks this and all other instances that are not known to be gone.
+// gather queries this instance and all others that are not known to be gone.
 func (r *Reporter) gather(ctx context.Context) fleetState {
 	missing := r.voters()
 	listed, addresses := r.listed()
@@ -73,7 +75,7 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // the functions return no error
+	_ = group.Wait() // the functions never return an error
 	live := ledger.LiveOf(dumps)
 	return fleetState{
 		state:         ledger.Combine(dumps),
@@ -103,7 +105,7 @@
 }
 
 // listed returns the instances that the control group lists, and the control
-// addresses to ask, this instance's own among them.
+// addresses to query, including that of this instance.
 func (r *Reporter) listed() (listed map[ledger.ID]bool, addresses []string) {
 	listed = map[ledger.ID]bool{}
 	addresses = []string{r.opts.Address}
@@ -138,8 +140,8 @@
 	return ledger.DecodeDump(r.opts.Clock.Now(), answer.Account, answer.Book)
 }
 
-// ownDump goes through the encoding too: a report changes the state that it
-// combines, which must not be the book itself.
+// ownDump encodes and decodes the dump like that of another instance, because a
+// report modifies the state that it combines, which must not be the store's own.
 func (r *Reporter) ownDump() (*ledger.Dump, error) {
 	answer, err := r.dump()
 	if err != nil {
--- a/accounting/keep_book.go
+++ b/accounting/merge_stores.go
@@ -8,15 +8,16 @@
 	"celeryport/ledger"
 )
 
-// The intervals at which a voter looks at the books of the others.
+// The intervals at which a voter merges the counters of the other voters.
 const (
-	mergeRetryInterval = 10 * time.Second // until all have answered once
+	mergeRetryInterval = 10 * time.Second // after an attempt that some voter did not answer
 	mergeInterval      = time.Hour
 )
 
-// KeepBook joins this voter's book with those of the others until the context
-// ends: at once, since it may have lost its disk, and from time to time, since it
-// may have been away while an instance ended. Without a book it does nothing.
+// KeepBook merges the counters of the other voters into the store of this voter until
+// the context ends: immediately, because this voter may have lost its disk, and then
+// periodically, because it may have been unavailable while an instance ended. It
+// returns at once on an instance without a store.
 func (r *Reporter) KeepBook(ctx context.Context) {
 	if r.opts.Book == nil {
 		return
@@ -37,7 +38,8 @@
 	}
 }
 
-// JoinBooks joins the books once, and reports whether every other voter answered.
+// MergeStores merges the counters of all other voters once and reports whether every
+// one of them answered and the result was stored.
 func (r *Reporter) MergeStores(ctx context.Context) bool {
 	var others []*ledger.State
 	complete := true
--- a/accounting/join_test.go
+++ b/accounting/merge_stores_test.go
@@ -19,10 +19,10 @@
 	i.copier.Flush(context.Background())
 }
 
-// An entry instance ends for good, then a voter loses its disk and is replaced,
-// and right after that repair the other two voters are lost as well. Without the
-// books being joined, the report would know nothing of the first instance, and
-// say nothing of it either.
+// An entry instance ends permanently, then a voter loses its disk and is replaced,
+// and immediately after that the other two voters are lost. If the replaced voter
+// had not merged the other voters' counters, the report would omit the entry
+// instance without listing it as unknown.
 func TestReportSurvivesASecondLossRightAfterARepair(t *testing.T) {
 	f := newFleetOf(t, 3, 1)
 	ended := f.instances[3]
@@ -50,7 +50,7 @@
 	}
 	recent := repaired.reporter.Report(context.Background(), ledger.Query{Since: f.now.Add(-10 * time.Minute)})
 	if recent.Total.Served != 0 || len(recent.Unplaced) != 0 {
-		t.Errorf("the hour before shows as now: %+v", recent.Total)
+		t.Errorf("requests of an hour ago are reported as recent: %+v", recent.Total)
 	}
 }
 
@@ -69,14 +69,14 @@
 	}
 }
 
-// All processes restart while two of three voters stay lost, so no control group
-// names any instance. The voter that is left must not take its own book for all
-// there is, without a word of the others.
+// All processes restart while two of three voters stay down, so there is no control
+// group that lists instances. The report of the remaining voter must name the
+// missing voters instead of presenting its own counters as complete.
 func TestReportWithoutAControlGroupNamesTheMissingVoters(t *testing.T) {
 	f := newFleetOf(t, 3, 1)
 	countServed(f, f.instances[3], 5)
 	f.stop()
-	f.noView = true
+	f.emptyView = true
 	f.instances[0].start(t)
 	report := f.instances[0].reporter.Report(context.Background(), ledger.Query{})
 	if len(report.MissingBooks) != 2 || report.Total.Served != 5 {
@@ -85,6 +85,6 @@
 	f.instances[1].start(t)
 	report = f.instances[0].reporter.Report(context.Background(), ledger.Query{})
 	if len(report.MissingBooks) != 1 {
-		t.Errorf("missing %v after one came back", report.MissingBooks)
+		t.Errorf("missing %v after one voter restarted", report.MissingBooks)
 	}
 }
--- a/accounting/reporter.go
+++ b/accounting/reporter.go
@@ -16,41 +16,42 @@
 	"celeryport/verdict"
 )
 
-// The commands that a Reporter answers.
+// The commands that a Reporter handles.
 const (
 	CommandReport = "report"
 	CommandBurn   = "burn"
 	commandDump   = "ledger-dump"
 )
 
-// ReporterOptions set up a Reporter. Log, Operations, View and Address must be
-// set.
+// ReporterOptions configure a Reporter. Log, Operations, View and Address are
+// required.
 type ReporterOptions struct {
 	Log        logrus.FieldLogger
 	Operations control.Operations
 	View       func() *control.View
-	Book       *ledger.Book // nil on an instance that is no voter
-	Address    string       // this instance's own control address
-	// Voters are those of the process settings. They are asked as long as the
-	// control group has named none: without a majority a restarted instance would
-	// otherwise take its own book for all there is.
+	Book       *ledger.Book // nil unless the instance is a voter
+	Address    string       // control address of this instance
+	// Voters lists the voters in the process settings. They are queried as long as
+	// the control group has named none: without a majority, a restarted instance
+	// would otherwise treat its own counters as complete.
 	Voters []settings.Member
-	Clock  clock.Clock // nil: the machine's
+	Clock  clock.Clock // nil: the system clock
 }
 
-// Reporter answers operators' reports on any instance: it asks all of them for
-// what they know and merges it.
+// Reporter answers operators' requests for reports on any instance. It queries all
+// instances and merges their counters.
 type Reporter struct {
 	opts    ReporterOptions
 	account atomic.Pointer[ledger.Account]
 }
 
-// Count gives the reporter the account of this incarnation. Commands have to be
-// registered before the instance starts, its incarnation is known only later.
+// Count sets the account of this incarnation. It is separate from NewReporter because
+// commands have to be registered before the instance starts, while its incarnation is
+// known only afterwards.
 func (r *Reporter) Count(account *ledger.Account) { r.account.Store(account) }
 
-// NewReporter returns a reporter and registers its commands, which has to be
-// before the instance starts.
+// NewReporter returns a reporter and registers its commands. It must be called before
+// the instance starts.
 func NewReporter(opts ReporterOptions) *Reporter {
 	if opts.Clock == nil {
 		opts.Clock = clock.Real{}
@@ -62,7 +63,7 @@
 	return r
 }
 
-// Report makes a report over all instances.
+// Report builds a report over all instances.
 func (r *Reporter) Report(ctx context.Context, query ledger.Query) *ledger.Report {
 	fleet := r.gather(ctx)
 	return ledger.NewReport(fleet.input(query, r.opts.Clock.Now()))
@@ -91,5 +92,5 @@
 	return body, errors.Wrap(err, "encoding an answer")
 }
 
-// dumpTimeout bounds how long a report waits for an instance.
+// dumpTimeout bounds the time for which a report waits for one instance.
 const dumpTimeout = 2 * time.Second
