--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -38,7 +38,7 @@
 [service.cassa]
 `
 
-// traffic is one kind of requests that end at one time.
+// traffic is a number of requests that end in the same way at the same time.
 type traffic struct {
 	ago          time.Duration
 	n            int
@@ -61,7 +61,8 @@
 
 var goodRequest = served(ledger.Served{InTime: true, FirstToken: time.Second / 2, IdleFirstToken: time.Second / 3})
 
-// compute sends the traffic through an account and a state, as a voter sees it.
+// compute counts the traffic in an account, applies its copies to a state as a voter
+// does, and computes the burn from this state.
 func compute(t *testing.T, all []traffic) *Table {
 	t.Helper()
 	parsed, err := settings.ParseTree("tree.ini", []byte(testTree))
@@ -74,14 +75,14 @@
 	account.Configure(parsed)
 	state := ledger.NewState()
 	var sequence uint64
-	for i, part := range all {
-		sequence = state.Apply(account.Snapshot(testNow.Add(-part.ago), sequence))
-		for n := range part.n {
-			r := &request.Request{ID: fmt.Sprint(i, "-", n), Organisation: part.organisation, Class: "counter", Target: "sarto"}
+	for i, group := range all {
+		sequence = state.Apply(account.Snapshot(testNow.Add(-group.ago), sequence))
+		for n := range group.n {
+			r := &request.Request{ID: fmt.Sprint(i, "-", n), Organisation: group.organisation, Class: "counter", Target: "sarto"}
 			account.Received(r)
-			part.end(account, r)
+			group.end(account, r)
 		}
-		sequence = state.Apply(account.Snapshot(testNow.Add(-part.ago), sequence))
+		sequence = state.Apply(account.Snapshot(testNow.Add(-group.ago), sequence))
 	}
 	return Compute(Input{Now: testNow, Tree: parsed, State: state})
 }
@@ -106,7 +107,7 @@
 		traffic []traffic
 		rates   map[time.Duration]float64
 		left    float64
-		days    float64 // -1: for ever
+		days    float64 // -1: indefinitely
 		action  string
 	}{
 		{
@@ -116,13 +117,13 @@
 			1, -1, "",
 		},
 		{
-			"a tenth fails just now", Served,
+			"a tenth of current requests fail", Served,
 			[]traffic{steady, {3 * time.Minute, 90, "atelier", goodRequest}, {2 * time.Minute, 10, "archivio", failed(verdict.ReasonUpstream)}},
 			map[time.Duration]float64{5 * time.Minute: 10, time.Hour: 10, 72 * time.Hour: 1},
 			0, 0, Page,
 		},
 		{
-			"half failed two hours ago and it was mended", Served,
+			"half failed two hours ago, fixed since", Served,
 			[]traffic{
 				steady,
 				{130 * time.Minute, 50, "atelier", goodRequest},
@@ -133,7 +134,7 @@
 			0.5, 0.5 * 30 / (50.0 / 91), "",
 		},
 		{
-			"callers send nonsense and reach their limits", Served,
+			"callers send invalid requests and reach their limits", Served,
 			[]traffic{steady, {time.Minute, 500, "archivio", refused(verdict.ReasonLimit)}, {time.Minute, 500, "archivio", refused(verdict.ReasonBadRequest)}},
 			map[time.Duration]float64{5 * time.Minute: 0},
 			1, -1, "",
@@ -225,18 +226,17 @@
 	}
 }
 
-// The people on call open the page where there is no network but that of the
-// fleet. A script, style sheet or picture from elsewhere would leave them with an
-// empty frame.
+// Operators on call may open the page without access to any network except the
+// fleet's. A script, style sheet or image from another host would fail to load.
 func TestPageLoadsNoExternalResources(t *testing.T) {
 	var b bytes.Buffer
 	if err := burningTable(t).WriteHTML(&b); err != nil {
 		t.Fatal(err)
 	}
 	text := b.String()
-	for _, foreign := range []string{"<script", "<link", "<img", "src=", "@import", "url(", "<?xml"} {
-		if strings.Contains(text, foreign) {
-			t.Errorf("the page holds %s", foreign)
+	for _, external := range []string{"<script", "<link", "<img", "src=", "@import", "url(", "<?xml"} {
+		if strings.Contains(text, external) {
+			t.Errorf("the page contains %s", external)
 		}
 	}
 	if n := strings.Count(text, "<svg"); n != len(kinds) {
--- a/burn/burner.go
+++ b/burn/burner.go
@@ -6,10 +6,11 @@
 	"strings"
 )
 
-// shownBurners bounds the burners that are listed.
+// maxBurners bounds the number of burners listed for an objective.
 const maxBurners = 5
 
-// burners lists who and what missed the objective, the most first.
+// burners lists the organisations and causes with the most requests that missed the
+// objective, in descending order.
 func burners(o *objective, series byClass) []Burner {
 	type key struct{ organisation, cause string }
 	bad := map[key]uint64{}
@@ -31,8 +32,8 @@
 	return all[:min(len(all), maxBurners)]
 }
 
-// compareBurners orders by what they burn, the most first, and then by name, so
-// that equal input gives an equal table.
+// compareBurners orders burners by missed requests, descending, and then by
+// organisation and cause, so that the order is deterministic.
 func compareBurners(a, b Burner) int {
 	if c := cmp.Compare(b.Bad, a.Bad); c != 0 {
 		return c
--- a/burn/cause.go
+++ b/burn/cause.go
@@ -5,11 +5,12 @@
 	"celeryport/verdict"
 )
 
-// callersOwn reports whether a reason lies with the caller or with a limit that
-// operators set for its organisation. Such ends leave the budget alone: an
-// organisation that sends nonsense must not use up the budget of its class, nor
-// may a limit that works as it should wake anybody. Whatever the fleet could not
-// do, a full queue or a share included, burns.
+// isCallerFault reports whether a reason is the responsibility of the caller or the
+// effect of a limit that operators set for its organisation. Such requests don't
+// count against the error budget: an organisation that sends invalid requests must
+// not exhaust the budget of its class, and a limit that works as intended must not
+// raise an alert. Everything that the fleet failed to serve counts, including
+// refusals because of a full queue or an exceeded share.
 func isCallerFault(reason verdict.Reason) bool {
 	switch reason {
 	case verdict.ReasonBadRequest, verdict.ReasonUnauthorized, verdict.ReasonNotFound,
@@ -20,7 +21,7 @@
 	return false
 }
 
-// causeOf names why a counter misses an objective.
+// causeOf describes why the requests of a counter miss an objective.
 func causeOf(f ledger.Field) string {
 	switch f.Kind() {
 	case ledger.KindLate:
--- a/burn/chart.go
+++ b/burn/chart.go
@@ -18,11 +18,11 @@
 	chartWidth  = vg.Length(420) // points
 	chartHeight = vg.Length(150)
 	lineWidth   = vg.Length(1.5)
-	dash        = vg.Length(3)
+	dashLength  = vg.Length(3)
 )
 
-// chart draws the burn rate by the hour, with a line at 1, the rate that spends
-// the budget exactly within its period.
+// chart draws the hourly burn rate and a line at 1, the rate that spends the budget
+// exactly within its period.
 func (o *Objective) chart() (template.HTML, error) {
 	p := plot.New()
 	p.Y.Label.Text = "burn rate"
@@ -55,14 +55,15 @@
 	line.StepStyle = plotter.PostStep
 	line.Width = lineWidth
 	sustainable := plotter.NewFunction(func(float64) float64 { return 1 })
-	sustainable.Dashes = []vg.Length{dash, dash}
+	sustainable.Dashes = []vg.Length{dashLength, dashLength}
 	p.Add(line, sustainable)
 	p.Y.Max = math.Max(p.Y.Max, 1)
 	return nil
 }
 
-// inline cuts off what stands before the svg element: a declaration of XML is
-// not allowed inside HTML. The drawing holds numbers and fixed words only.
+// stripXMLHeader removes everything before the svg element, since an XML declaration
+// is not allowed inside HTML. The conversion to template.HTML is safe because the
+// drawing contains only numbers and constant texts.
 func stripXMLHeader(svg string) template.HTML {
 	if i := strings.Index(svg, "<svg"); i > 0 {
 		svg = svg[i:]
--- a/burn/compute.go
+++ b/burn/compute.go
@@ -7,12 +7,12 @@
 	"celeryport/settings"
 )
 
-// Input is everything that the burn is computed from.
+// Input is the input of Compute.
 type Input struct {
 	Now     time.Time
 	Tree    *settings.Tree
 	State   *ledger.State
-	Unknown int // instances of which the end is not known
+	Unknown int // instances whose final counters are unknown
 }
 
 // Compute returns the burn of every objective of every class.
@@ -32,7 +32,8 @@
 	return table
 }
 
-// growth reads each window of the ledger once for all objectives.
+// growth caches the windows of the ledger, so that each is read once for all
+// objectives.
 type growth struct {
 	now     time.Time
 	state   *ledger.State
@@ -55,7 +56,7 @@
 	return g
 }
 
-// within returns the growth over a window.
+// within returns the growth over a window that ends now.
 func (g *growth) within(window time.Duration) byClass {
 	if g.windows[window] == nil {
 		series, _ := g.state.Windows.Since(g.now.Add(-window), g.now)
@@ -101,8 +102,8 @@
 	return result
 }
 
-// rate is the burn rate: the fraction that missed the objective over the
-// fraction that may.
+// rate returns the burn rate: the fraction of requests that missed the objective
+// divided by the fraction that the goal allows to miss it.
 func (o *objective) rate(c count) float64 { return c.badFraction() / (1 - o.goal) }
 
 func (g *growth) rates(o *objective) []Rate {
@@ -142,7 +143,9 @@
 	return 0
 }
 
-// daysLeft assumes that as many requests come as over the period so far.
+// daysLeft returns how long the budget lasts at the current rate, or nil if it lasts
+// indefinitely. It assumes that requests keep arriving at the average rate of the
+// period.
 func daysLeft(o *Objective) *float64 {
 	rate := rateOf(o.Rates, rateWindow)
 	budgetLeft := max(0, o.BudgetLeft)
--- a/burn/doc.go
+++ b/burn/doc.go
@@ -1,5 +1,5 @@
-// Package burn measures the classes of work against their objectives: how much
-// of each error budget is spent, how fast it burns over pairs of windows, who
-// and what burns it, and how long it lasts at this rate. All types are pure
-// functions of the ledger's counters over time.
+// Package burn computes the error budgets of the objectives of all classes: the part
+// that is spent, the burn rates over pairs of windows with the alerts that follow
+// from them, the organisations and causes that contribute most, and the time until
+// the budget is exhausted. All results are pure functions of the ledger's counters.
 package burn
--- a/burn/html.go
+++ b/burn/html.go
@@ -17,7 +17,7 @@
 	"bar":     func(fraction float64) float64 { return min(1, max(0, fraction)) * 100 },
 }).Parse(pageText))
 
-// pageData is what the page shows.
+// pageData is the data of the page template.
 type pageData struct {
 	Table      *Table
 	At         string
@@ -27,15 +27,15 @@
 
 type pageObjective struct {
 	*Objective
-	Title  string
-	Lasts  string
-	Action string
-	Rates  []string
-	Chart  template.HTML
+	Title    string
+	TimeLeft string
+	Action   string
+	Rates    []string
+	Chart    template.HTML
 }
 
-// WriteHTML writes a page that needs nothing from the network: charts are inline
-// drawings, and there are no scripts.
+// WriteHTML writes the table as a self-contained HTML page with inline SVG charts
+// and without scripts.
 func (t *Table) WriteHTML(w io.Writer) error {
 	data := pageData{Table: t, At: t.At.UTC().Format(timeFormat)}
 	for _, window := range windows {
@@ -52,7 +52,7 @@
 }
 
 func newPageObjective(o *Objective) (pageObjective, error) {
-	p := pageObjective{Objective: o, Title: o.title(), Lasts: o.timeLeft(), Action: o.action()}
+	p := pageObjective{Objective: o, Title: o.title(), TimeLeft: o.timeLeft(), Action: o.action()}
 	for i := range o.Rates {
 		p.Rates = append(p.Rates, o.Rates[i].text())
 	}
--- a/burn/json.go
+++ b/burn/json.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// WriteJSON writes the table for programs.
+// WriteJSON writes the table as indented JSON.
 func (t *Table) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
--- a/burn/objective.go
+++ b/burn/objective.go
@@ -13,15 +13,15 @@
 
 // The objectives of a class.
 const (
-	Served     Kind = "served"      // requests get an answer
+	Served     Kind = "served"      // requests are answered
 	InTime     Kind = "in time"     // admitted requests are answered before their deadline
-	FirstToken Kind = "first token" // short prompts get their first token within a bound
+	FirstToken Kind = "first token" // the first token of short prompts arrives within a bound
 	Slowdown   Kind = "slowdown"    // short prompts are not slowed down beyond a bound
 )
 
 var kinds = []Kind{Served, InTime, FirstToken, Slowdown}
 
-// objective is one kind of objective with the goal of one class.
+// objective is one objective of one class with its goal.
 type objective struct {
 	kind   Kind
 	class  string
@@ -46,7 +46,8 @@
 	return all
 }
 
-// count is how many requests an objective is about, and how many missed it.
+// count holds the number of requests that an objective covers and of those that
+// missed it.
 type count struct {
 	total uint64
 	bad   uint64
@@ -56,7 +57,8 @@
 	return count{total: c.total + other.total, bad: c.bad + other.bad}
 }
 
-// badFraction is 0 without any request.
+// badFraction returns the fraction of requests that missed the objective, 0 if there
+// were no requests.
 func (c count) badFraction() float64 {
 	if c.total == 0 {
 		return 0
@@ -64,7 +66,7 @@
 	return float64(c.bad) / float64(c.total)
 }
 
-// of counts one series for the objective.
+// countSeries counts the requests of one series for the objective.
 func (o *objective) countSeries(c *ledger.Counters) count {
 	var sum count
 	for i, f := range c.Fields {
@@ -79,8 +81,9 @@
 	return sum
 }
 
-// counts reports whether a counter of the ledger is part of what the objective
-// is about, and whether it misses it. A late answer is counted as served too.
+// counts reports whether the requests of a ledger counter are covered by the
+// objective, and whether they missed it. KindLate is not part of the total, because
+// late answers are also counted under KindServed.
 func (k Kind) counts(f ledger.Field) (isTotal, isBad bool) {
 	switch f.Kind() {
 	case ledger.KindServed:
--- a/burn/table.go
+++ b/burn/table.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// Table is the burn of all objectives.
+// Table holds the burn of all objectives.
 type Table struct {
 	At         time.Time   `json:"at"`
 	Objectives []Objective `json:"objectives"`
-	// Unplaced are requests that a voter learned too late to place in time; they
-	// are in no window.
+	// Unplaced is the number of requests of which voters were informed too late to
+	// place them in time. They are not part of any window.
 	Unplaced uint64 `json:"unplaced"`
-	// UnknownInstances ended or are cut off without their last copy: what they
-	// counted since is in no window.
+	// UnknownInstances is the number of instances that ended or became unreachable
+	// without sending a final copy. Requests that they counted after their last copy
+	// are not part of any window.
 	UnknownInstances int `json:"unknown_instances"`
 }
 
-// Objective is the burn of one objective of one class.
+// Objective holds the burn of one objective of one class.
 type Objective struct {
 	Class      string        `json:"class"`
 	Kind       Kind          `json:"objective"`
 	Goal       float64       `json:"goal"`
 	Bound      string        `json:"bound,omitempty"`
 	Period     time.Duration `json:"period_ns"`
-	Total      uint64        `json:"total"` // requests of the period that it is about
-	Bad        uint64        `json:"bad"`   // of these, requests that missed it
+	Total      uint64        `json:"total"` // requests of the period that the objective covers
+	Bad        uint64        `json:"bad"`   // requests included in Total that missed the objective
 	BudgetLeft float64       `json:"budget_left"`
 	Rates      []Rate        `json:"rates"`
 	Alerts     []Alert       `json:"alerts,omitempty"`
-	// DaysLeft is how long the budget lasts at the rate of the last six hours;
-	// nil: for ever.
+	// DaysLeft is the time that the budget lasts at the rate of the last six hours;
+	// nil: indefinitely.
 	DaysLeft      *float64 `json:"days_left"`
-	Burners       []Burner `json:"burners,omitempty"`        // of the last hour
-	PeriodBurners []Burner `json:"burners_period,omitempty"` // of the period
-	History       []Point  `json:"history,omitempty"`        // by the hour
+	Burners       []Burner `json:"burners,omitempty"`        // in the last hour
+	PeriodBurners []Burner `json:"burners_period,omitempty"` // in the period
+	History       []Point  `json:"history,omitempty"`        // hourly
 }
 
-// Rate is how fast the budget burns over a window: 1 spends it exactly within
+// Rate is the burn rate over a window. A rate of 1 spends the budget exactly within
 // the period.
 type Rate struct {
 	Window time.Duration `json:"window_ns"`
@@ -43,7 +44,7 @@
 	Bad    uint64        `json:"bad"`
 }
 
-// Alert is a pair of windows that both burn at its threshold or faster.
+// Alert is raised when the burn rates of both windows of a Pair reach its threshold.
 type Alert struct {
 	Action string        `json:"action"`
 	Long   time.Duration `json:"long_ns"`
@@ -51,12 +52,13 @@
 	Rate   float64       `json:"rate"` // of the long window
 }
 
-// Burner is a part of what missed an objective.
+// Burner counts the requests of one organisation that missed an objective for one
+// cause.
 type Burner struct {
 	Organisation string  `json:"organisation"`
 	Cause        string  `json:"cause"`
 	Bad          uint64  `json:"bad"`
-	Share        float64 `json:"share"` // of all that missed it
+	Share        float64 `json:"share"` // fraction of all requests that missed the objective
 }
 
 // Point is the burn rate of one hour.
--- a/burn/text.go
+++ b/burn/text.go
@@ -16,7 +16,7 @@
 	timeFormat = "2006-01-02 15:04:05 MST"
 )
 
-// WriteText writes the table for a terminal.
+// WriteText writes the table as text for a terminal.
 func (t *Table) WriteText(w io.Writer) error {
 	out := tabwriter.NewWriter(w, 0, 0, padding, ' ', 0)
 	lines := []string{"burn at " + t.At.UTC().Format(timeFormat), "", heading()}
@@ -30,8 +30,8 @@
 	return errors.CombineErrors(err, out.Flush())
 }
 
-// shown are the objectives that any request was about; a class of service calls
-// has no first tokens.
+// active returns the objectives that cover at least one request. A class with only
+// service calls, for example, has no requests with a first token.
 func (t *Table) active() []*Objective {
 	var active []*Objective
 	for i := range t.Objectives {
@@ -68,7 +68,7 @@
 	return string(o.Kind) + " " + o.Bound
 }
 
-// text shows a rate; without any request there is none.
+// text formats a rate, or returns "-" if the window had no requests.
 func (r *Rate) text() string {
 	if r.Total == 0 {
 		return "-"
@@ -86,7 +86,7 @@
 	return fmt.Sprintf("%.1f days", *o.DaysLeft)
 }
 
-// action is the most urgent one that is called for.
+// action returns the most urgent action of the current alerts.
 func (o *Objective) action() string {
 	action := ""
 	for _, a := range o.Alerts {
@@ -131,17 +131,18 @@
 	return footnotes
 }
 
-// bar draws a fraction; more than all and less than nothing are cut off.
+// bar draws a fraction as a bar. Values outside of 0 to 1 are clamped.
 func bar(fraction float64) string {
-	full := int(min(1, max(0, fraction))*barWidth + 0.5)
-	return "[" + strings.Repeat("#", full) + strings.Repeat(".", barWidth-full) + "]"
+	filled := int(min(1, max(0, fraction))*barWidth + 0.5)
+	return "[" + strings.Repeat("#", filled) + strings.Repeat(".", barWidth-filled) + "]"
 }
 
 func percent(fraction float64) string {
 	return strings.TrimSuffix(strings.TrimRight(fmt.Sprintf("%.3f", fraction*100), "0"), ".") + "%"
 }
 
-// rounded is a percentage without decimals, for what is not a goal.
+// rounded formats a fraction as a percentage without decimals. Goals use percent,
+// which keeps up to three.
 func rounded(fraction float64) string { return fmt.Sprintf("%.0f%%", fraction*100) }
 
 func shortWindow(d time.Duration) string {
