--- a/metrics/buckets.go
+++ b/metrics/buckets.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// bounds are the upper bounds of the histograms, in seconds, from a token gap
-// to the prefill of a million tokens.
+// bucketBounds are the upper bounds of the histogram buckets in seconds. They range
+// from a gap between tokens to the prefill of a million tokens.
 var bucketBounds = []float64{
 	0.001, 0.005, 0.01, 0.02, 0.027, 0.05, 0.1, 0.2, 0.5, 0.94, 1.5, 3, 5, 10, 30, 60, 120, 300, 600, 1200,
 }
 
-// buckets is one Prometheus histogram.
+// histogramBuckets holds the values of one Prometheus histogram.
 type histogramBuckets struct {
 	count      uint64
 	sum        float64
--- a/metrics/control.go
+++ b/metrics/control.go
@@ -17,13 +17,13 @@
 	upstreamKnown       = gauge("upstream", "known", "Known upstreams by state.", labelState)
 )
 
-// Control collects the view that this instance has of the control state.
+// Control collects metrics of this instance's view of the control state.
 type Control struct {
 	view  func() *control.View
 	clock clock.Clock
 }
 
-// NewControl returns a collector of views.
+// NewControl returns a collector that reads the current view at each scrape.
 func NewControl(view func() *control.View, c clock.Clock) *Control {
 	return &Control{view: view, clock: c}
 }
--- a/metrics/copies.go
+++ b/metrics/copies.go
@@ -9,12 +9,13 @@
 var ledgerUncopied = gauge("ledger", "uncopied_seconds",
 	"Time since a voter last took this instance's counters. What is counted in this time is unknown if the instance is killed.")
 
-// Copies collects how old the last copy of the counters is.
+// Copies collects the age of the last copy of the counters.
 type Copies struct {
 	age func() time.Duration
 }
 
-// NewCopies returns a collector; age is the time since the last copy.
+// NewCopies returns a collector. The function age returns the time since the last
+// copy.
 func NewCopies(age func() time.Duration) *Copies { return &Copies{age: age} }
 
 // Describe implements prometheus.Collector.
--- a/metrics/handler.go
+++ b/metrics/handler.go
@@ -14,15 +14,15 @@
 	"celeryport/ledger"
 )
 
-// Sources are what an instance exposes.
+// Sources provides the data that the metrics of an instance are collected from.
 type Sources struct {
 	Account *ledger.Account
 	View    func() *control.View
-	CopyAge func() time.Duration // since the counters were last copied to a voter
+	CopyAge func() time.Duration // time since the counters were last copied to a voter
 	Clock   clock.Clock
 }
 
-// NewRegistry returns a registry of everything that an instance exposes.
+// NewRegistry returns a registry with all collectors of an instance.
 func NewRegistry(s Sources) *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -35,7 +35,7 @@
 	return registry
 }
 
-// Handler answers GET /metrics.
+// Handler returns the handler of GET /metrics.
 func Handler(registry *prometheus.Registry) fasthttp.RequestHandler {
 	return fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 }
--- a/metrics/metric.go
+++ b/metrics/metric.go
@@ -14,7 +14,7 @@
 	labelState        = "state"
 )
 
-// metric is one metric of this package.
+// metric defines one metric of this package.
 type metric struct {
 	name   string
 	help   string
@@ -23,7 +23,7 @@
 	desc   *prometheus.Desc
 }
 
-// all lists the metrics, for docs/METRICS.md.
+// registered lists all metrics, for docs/METRICS.md.
 var registered []*metric
 
 func define(kind prometheus.ValueType, subsystem, name, help string, labels ...string) *metric {
@@ -46,7 +46,8 @@
 	return define(prometheus.GaugeValue, subsystem, name, help, labels...)
 }
 
-// histogram is defined without a value type of its own.
+// histogram defines a histogram. Its value type is UntypedValue because Prometheus has
+// no value type for histograms.
 func histogram(subsystem, name, help string, labels ...string) *metric {
 	return define(prometheus.UntypedValue, subsystem, name, help, labels...)
 }
@@ -59,7 +60,7 @@
 	to <- prometheus.MustNewConstHistogram(m.desc, h.count, h.sum, h.cumulative, labels...)
 }
 
-// kindName is the Prometheus type of the metric.
+// kindName returns the Prometheus type of the metric.
 func (m *metric) kindName() string {
 	switch m.kind {
 	case prometheus.CounterValue:
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// Callers send whatever they like as organisation, class and model. If each made
-// a time series of its own, one caller could fill the memory of the instance and
-// of whoever collects its metrics.
+// Callers choose the names of organisation, class and model that they send. If every
+// name created a time series, one caller could exhaust the memory of the instance and
+// of the Prometheus server.
 func TestUnknownNamesDoNotCreateTimeSeries(t *testing.T) {
 	account := newAccount(t)
 	for i := range 1000 {
--- a/metrics/requests.go
+++ b/metrics/requests.go
@@ -36,7 +36,7 @@
 	latencyService    = histogram("latency", "service_call_seconds", "Time from arrival to the answer of a plain service.", labelClass)
 )
 
-// plainCounters are the metrics that are one counter of the ledger.
+// plainCounters maps ledger counters to the metrics that expose them directly.
 var plainCounters = map[ledger.FieldKind]*metric{
 	ledger.KindReceived:         requestsReceived,
 	ledger.KindServed:           requestsServed,
@@ -56,13 +56,13 @@
 	ledger.KindTotal:      latencyService,
 }
 
-// Requests collects the account of this instance.
+// Requests collects metrics of the requests in the account of this instance.
 type Requests struct {
 	account *ledger.Account
 	clock   clock.Clock
 }
 
-// NewRequests returns a collector of an account.
+// NewRequests returns a collector that reads an account at each scrape.
 func NewRequests(account *ledger.Account, c clock.Clock) *Requests {
 	return &Requests{account: account, clock: c}
 }
@@ -100,7 +100,7 @@
 	}
 }
 
-// group is one organisation in one class.
+// group identifies one organisation and class.
 type group struct {
 	organisation string
 	class        string
@@ -123,8 +123,8 @@
 	}
 }
 
-// latency names one histogram; organisations are left out, which would make
-// 20 time series of each.
+// latency identifies one histogram. Organisations are not a label, because each of
+// them would add more than 20 time series per histogram.
 type latency struct {
 	kind   ledger.FieldKind
 	class  string
--- a/metrics/table.go
+++ b/metrics/table.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Table returns the table of all metrics in docs/METRICS.md.
+// Table returns the Markdown table of all metrics for docs/METRICS.md.
 func Table() string {
 	var b strings.Builder
 	b.WriteString("| Metric | Type | Labels | Meaning |\n|---|---|---|---|\n")
