--- a/control/options.go
+++ b/control/options.go
@@ -24,7 +24,7 @@
 	Clock    clock.Clock                                            // nil: the system clock
 	Listener net.Listener                                           // nil: listen on Process.ControlListen
 	Dial     rpc.Dial                                               // nil: TCP
-	Ledger   ledger.Store                                           // nil: ledger copies are rejected
+	Ledger   ledger.CopyMerger                                      // nil: ledger copies are rejected
 	Random   *rand.Rand                                             // nil: randomly seeded
 	Parse    func(file string, text []byte) (*settings.Tree, error) // nil: settings.ParseTree
 	FS       wal.FS                                                 // nil: the operating system's; tests inject failures
--- a/instance/books.go
+++ b/instance/books.go
@@ -45,7 +45,7 @@
 }
 
 // store is what copies of other instances are kept in.
-func (b *books) store() ledger.Store {
+func (b *books) store() ledger.CopyMerger {
 	if b.book == nil {
 		return nil
 	}
--- a/ledger/book.go
+++ b/ledger/book.go
@@ -45,7 +45,7 @@
 	return &Book{log: log, clock: c, state: state, records: records}, nil
 }
 
-// Merge implements Store. The copy is synced to disk before it is applied, because
+// Merge implements CopyMerger. The copy is synced to disk before it is applied, because
 // the instance does not send again what the returned position covers.
 func (b *Book) Merge(encodedCopy []byte) ([]byte, error) {
 	c, err := decodeCopy(encodedCopy)
