--- a/accounting/fleet_test.go
+++ b/accounting/fleet_test.go
@@ -138,7 +138,7 @@
 	i.incarnation++
 	i.handlers = map[string]control.Handler{}
 	if i.voter {
-		book, err := ledger.OpenBook(i.folder, wal.OS{}, i.fleet.log, i.fleet)
+		book, err := ledger.OpenStore(i.folder, wal.OS{}, i.fleet.log, i.fleet)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/instance/books.go
+++ b/instance/books.go
@@ -36,7 +36,7 @@
 		return b, nil
 	}
 	folder := filepath.Join(options.Process.DataFolder, ledgerFolder)
-	book, err := ledger.OpenBook(folder, wal.OS{}, options.Log, clock.Real{})
+	book, err := ledger.OpenStore(folder, wal.OS{}, options.Log, clock.Real{})
 	if err != nil {
 		return nil, errors.Wrap(err, "ledger")
 	}
--- a/ledger/book.go
+++ b/ledger/book.go
@@ -31,8 +31,8 @@
 	rewritten int64 // bytes of the state at the last rewrite
 }
 
-// OpenBook opens the store in its own folder under the data folder.
-func OpenBook(folder string, fs wal.FS, log logrus.FieldLogger, c clock.Clock) (*Book, error) {
+// OpenStore opens the store in its own folder under the data folder.
+func OpenStore(folder string, fs wal.FS, log logrus.FieldLogger, c clock.Clock) (*Book, error) {
 	records, content, err := wal.OpenRecords(folder, fs, wal.Options{Logger: log})
 	if err != nil {
 		return nil, errors.Wrap(err, "opening the ledger")
--- a/ledger/book_test.go
+++ b/ledger/book_test.go
@@ -19,7 +19,7 @@
 
 func openBook(t *testing.T, folder string, fs wal.FS) *Book {
 	t.Helper()
-	book, err := OpenBook(folder, fs, discardLogger(), fixedClock{testStart})
+	book, err := OpenStore(folder, fs, discardLogger(), fixedClock{testStart})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/ledger/size_test.go
+++ b/ledger/size_test.go
@@ -81,7 +81,7 @@
 // BenchmarkMerge measures the cost of merging and syncing one copy on a voter.
 func BenchmarkMerge(b *testing.B) {
 	const organisations, requests = 260, 160
-	book, err := OpenBook(b.TempDir(), wal.OS{}, discardLogger(), fixedClock{testStart})
+	book, err := OpenStore(b.TempDir(), wal.OS{}, discardLogger(), fixedClock{testStart})
 	if err != nil {
 		b.Fatal(err)
 	}
