--- a/accounting/fleet_test.go
+++ b/accounting/fleet_test.go
@@ -57,7 +57,7 @@
 	incarnation uint64
 	folder      string
 	account     *ledger.Account
-	book        *ledger.Book
+	book        *ledger.Store
 	copier      *Copier
 	reporter    *Reporter
 	handlers    map[string]control.Handler
--- a/accounting/reporter.go
+++ b/accounting/reporter.go
@@ -29,8 +29,8 @@
 	Log        logrus.FieldLogger
 	Operations control.Operations
 	View       func() *control.View
-	Book       *ledger.Book // nil unless the instance is a voter
-	Address    string       // control address of this instance
+	Book       *ledger.Store // nil unless the instance is a voter
+	Address    string        // control address of this instance
 	// Voters lists the voters in the process settings. They are queried as long as
 	// the control group has named none: without a majority, a restarted instance
 	// would otherwise treat its own counters as complete.
--- a/instance/books.go
+++ b/instance/books.go
@@ -24,7 +24,7 @@
 // the book of all accounts.
 type books struct {
 	options *Options
-	book    *ledger.Book // nil on an instance that is no voter
+	book    *ledger.Store // nil on an instance that is no voter
 	reports *accounting.Reporter
 	account *ledger.Account // of this incarnation
 	copier  *accounting.Copier
--- a/ledger/book_join.go
+++ b/ledger/merge_states.go
@@ -12,7 +12,7 @@
 // they held anything newer. A voter that lost its disk has only the accounts of
 // running instances; if the voters that still hold the accounts of ended instances
 // were lost next, those accounts could no longer be reported.
-func (b *Book) MergeStates(now time.Time, others []*State) (bool, error) {
+func (b *Store) MergeStates(now time.Time, others []*State) (bool, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.isBehind(now, others) {
@@ -43,7 +43,7 @@
 
 // isBehind reports whether any other state holds newer counters of an incarnation
 // that has ended.
-func (b *Book) isBehind(now time.Time, others []*State) bool {
+func (b *Store) isBehind(now time.Time, others []*State) bool {
 	for _, other := range others {
 		for id, inc := range other.Incarnations {
 			if inc.Sequence > b.state.sequence(id) && now.Sub(inc.At) > endedAfter {
@@ -54,7 +54,7 @@
 	return false
 }
 
-func (b *Book) cloneState() (*State, error) {
+func (b *Store) cloneState() (*State, error) {
 	encoded, err := encode(b.state)
 	if err != nil {
 		return nil, err
--- a/ledger/book.go
+++ b/ledger/store.go
@@ -18,9 +18,9 @@
 	rewriteMinBytes = 4 << 20
 )
 
-// Book stores the accounts of all instances durably on a voter. It implements
+// Store stores the accounts of all instances durably on a voter. It implements
 // Store and is safe for concurrent use.
-type Book struct {
+type Store struct {
 	log   logrus.FieldLogger
 	clock clock.Clock
 
@@ -32,7 +32,7 @@
 }
 
 // OpenStore opens the store in its own folder under the data folder.
-func OpenStore(folder string, fs wal.FS, log logrus.FieldLogger, c clock.Clock) (*Book, error) {
+func OpenStore(folder string, fs wal.FS, log logrus.FieldLogger, c clock.Clock) (*Store, error) {
 	records, content, err := wal.OpenRecords(folder, fs, wal.Options{Logger: log})
 	if err != nil {
 		return nil, errors.Wrap(err, "opening the ledger")
@@ -42,12 +42,12 @@
 		return nil, errors.CombineErrors(errors.Wrap(err, "reading the ledger"), records.Close())
 	}
 	storeOpened.Log(log, event.Fields{"folder": folder, "incarnations": len(state.Incarnations)})
-	return &Book{log: log, clock: c, state: state, records: records}, nil
+	return &Store{log: log, clock: c, state: state, records: records}, nil
 }
 
 // Merge implements CopyMerger. The copy is synced to disk before it is applied, because
 // the instance does not send again what the returned position covers.
-func (b *Book) Merge(encodedCopy []byte) ([]byte, error) {
+func (b *Store) Merge(encodedCopy []byte) ([]byte, error) {
 	c, err := decodeCopy(encodedCopy)
 	if err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 
 // withCorrectedClock returns the encoded copy to be stored, in which a time that
 // differs too much from the voter's clock is replaced.
-func (b *Book) withCorrectedClock(c *Copy, encodedCopy []byte) ([]byte, error) {
+func (b *Store) withCorrectedClock(c *Copy, encodedCopy []byte) ([]byte, error) {
 	sentAt := c.At
 	if !c.correctClock(b.clock.Now()) {
 		return encodedCopy, nil
@@ -82,7 +82,7 @@
 // skipped, since the voter requests it again after a restart. The first copy of an
 // incarnation is always stored: if the instance is killed before the next copy,
 // the report would otherwise not list it at all.
-func (b *Book) persist(c *Copy, encodedCopy []byte) error {
+func (b *Store) persist(c *Copy, encodedCopy []byte) error {
 	isNew := b.state.Incarnations[c.ID] == nil
 	if !b.state.Applies(c) || (len(c.Series) == 0 && !c.Final && !isNew) {
 		return nil
@@ -97,7 +97,7 @@
 
 // rewriteIfLarge replaces a large log by the state. It must be called after the
 // newest copy has been applied, because the replaced log holds that copy too.
-func (b *Book) rewriteIfLarge() error {
+func (b *Store) rewriteIfLarge() error {
 	if b.appended < max(rewriteMinBytes, rewriteFactor*b.rewritten) {
 		return nil
 	}
@@ -116,14 +116,14 @@
 }
 
 // Encoded returns the encoded state, for a report that another instance builds.
-func (b *Book) Encoded() ([]byte, error) {
+func (b *Store) Encoded() ([]byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return encode(b.state)
 }
 
 // Close closes the log.
-func (b *Book) Close() error {
+func (b *Store) Close() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.records.Close()
--- a/ledger/book_test.go
+++ b/ledger/store_test.go
@@ -17,7 +17,7 @@
 
 func (c fixedClock) Now() time.Time { return c.now }
 
-func openBook(t *testing.T, folder string, fs wal.FS) *Book {
+func openBook(t *testing.T, folder string, fs wal.FS) *Store {
 	t.Helper()
 	book, err := OpenStore(folder, fs, discardLogger(), fixedClock{testStart})
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 }
 
-func copyTo(t *testing.T, a *Account, book *Book, position []byte, at time.Time) []byte {
+func copyTo(t *testing.T, a *Account, book *Store, position []byte, at time.Time) []byte {
 	t.Helper()
 	encoded, _, err := a.Copy(at, position)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return position
 }
 
-func servedIn(book *Book) uint64 {
+func servedIn(book *Store) uint64 {
 	report := NewReport(ReportInput{Now: testStart, State: book.state})
 	return report.Total.Served
 }
