--- a/accounting/fleet_test.go
+++ b/accounting/fleet_test.go
@@ -57,7 +57,7 @@
 	incarnation uint64
 	folder      string
 	account     *ledger.Account
-	book        *ledger.Store
+	store       *ledger.Store
 	copier      *Copier
 	reporter    *Reporter
 	handlers    map[string]control.Handler
@@ -138,11 +138,11 @@
 	i.incarnation++
 	i.handlers = map[string]control.Handler{}
 	if i.voter {
-		book, err := ledger.OpenStore(i.folder, wal.OS{}, i.fleet.log, i.fleet)
+		store, err := ledger.OpenStore(i.folder, wal.OS{}, i.fleet.log, i.fleet)
 		if err != nil {
 			t.Fatal(err)
 		}
-		i.book = book
+		i.store = store
 	}
 	i.account = ledger.NewAccount(ledger.ID{Instance: i.name, Incarnation: i.incarnation}, i.fleet.now, i.fleet.log)
 	i.account.Configure(i.fleet.tree)
@@ -152,7 +152,7 @@
 		Timeout: time.Hour, // syncing on a busy machine may exceed the default time-out
 	})
 	i.reporter = NewReporter(ReporterOptions{
-		Log: i.fleet.log, Operations: i, View: i.fleet.view, Book: i.book, Address: i.address(), Clock: i.fleet,
+		Log: i.fleet.log, Operations: i, View: i.fleet.view, Book: i.store, Address: i.address(), Clock: i.fleet,
 		Voters: i.fleet.members(),
 	})
 	i.reporter.Count(i.account)
@@ -172,8 +172,8 @@
 	i.up = false
 	i.clients.Close()
 	_ = i.listener.Close()
-	if i.book != nil {
-		_ = i.book.Close()
+	if i.store != nil {
+		_ = i.store.Close()
 	}
 }
 
@@ -208,7 +208,7 @@
 	if !s.instance.up {
 		return nil, errConnectionLost
 	}
-	position, err := s.instance.book.Merge(in.Copy)
+	position, err := s.instance.store.Merge(in.Copy)
 	return &rpc.LedgerResponse{Stored: position}, err
 }
 
--- a/accounting/gather.go
+++ b/accounting/gather.go
@@ -43,7 +43,7 @@
 // rather than as zero.
 type dumpAnswer struct {
 	Account []byte `json:"own,omitempty"`
-	Book    []byte `json:"book,omitempty"`
+	Store   []byte `json:"book,omitempty"`
 }
 
 // gather queries this instance and all others that are not known to be gone.
@@ -137,7 +137,7 @@
 	if err := decodeBody(body, &answer); err != nil {
 		return nil, err
 	}
-	return ledger.DecodeDump(r.opts.Clock.Now(), answer.Account, answer.Book)
+	return ledger.DecodeDump(r.opts.Clock.Now(), answer.Account, answer.Store)
 }
 
 // ownDump encodes and decodes the dump like that of another instance, because a
@@ -147,7 +147,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return ledger.DecodeDump(r.opts.Clock.Now(), answer.Account, answer.Book)
+	return ledger.DecodeDump(r.opts.Clock.Now(), answer.Account, answer.Store)
 }
 
 func (r *Reporter) dump() (*dumpAnswer, error) {
@@ -157,7 +157,7 @@
 		answer.Account, err = ledger.EncodeAccount(account.Snapshot(r.opts.Clock.Now(), 0))
 	}
 	if err == nil && r.opts.Book != nil {
-		answer.Book, err = r.opts.Book.Encoded()
+		answer.Store, err = r.opts.Book.Encoded()
 	}
 	return answer, err
 }
--- a/ledger/encode_dump.go
+++ b/ledger/encode_dump.go
@@ -7,7 +7,7 @@
 
 // DecodeDump decodes a dump that was received from an instance at now. Either part
 // may be empty.
-func DecodeDump(now time.Time, account, book []byte) (*Dump, error) {
+func DecodeDump(now time.Time, account, store []byte) (*Dump, error) {
 	d := &Dump{}
 	var err error
 	if len(account) > 0 {
@@ -16,8 +16,8 @@
 		}
 		d.Own.correctClock(now)
 	}
-	if len(book) > 0 {
-		if d.Book, err = decodeState(book); err != nil {
+	if len(store) > 0 {
+		if d.Book, err = decodeState(store); err != nil {
 			return nil, err
 		}
 	}
--- a/ledger/size_test.go
+++ b/ledger/size_test.go
@@ -81,7 +81,7 @@
 // BenchmarkMerge measures the cost of merging and syncing one copy on a voter.
 func BenchmarkMerge(b *testing.B) {
 	const organisations, requests = 260, 160
-	book, err := OpenStore(b.TempDir(), wal.OS{}, discardLogger(), fixedClock{testStart})
+	store, err := OpenStore(b.TempDir(), wal.OS{}, discardLogger(), fixedClock{testStart})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 			b.Fatal(err)
 		}
 		b.StartTimer()
-		if position, err = book.Merge(encoded); err != nil {
+		if position, err = store.Merge(encoded); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/ledger/store_test.go
+++ b/ledger/store_test.go
@@ -17,13 +17,13 @@
 
 func (c fixedClock) Now() time.Time { return c.now }
 
-func openBook(t *testing.T, folder string, fs wal.FS) *Store {
+func openStore(t *testing.T, folder string, fs wal.FS) *Store {
 	t.Helper()
-	book, err := OpenStore(folder, fs, discardLogger(), fixedClock{testStart})
+	store, err := OpenStore(folder, fs, discardLogger(), fixedClock{testStart})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return book
+	return store
 }
 
 func serveMany(a *Account, first, n int) {
@@ -37,21 +37,21 @@
 	}
 }
 
-func copyTo(t *testing.T, a *Account, book *Store, position []byte, at time.Time) []byte {
+func copyTo(t *testing.T, a *Account, store *Store, position []byte, at time.Time) []byte {
 	t.Helper()
 	encoded, _, err := a.Copy(at, position)
 	if err != nil {
 		t.Fatal(err)
 	}
-	position, err = book.Merge(encoded)
+	position, err = store.Merge(encoded)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return position
 }
 
-func servedIn(book *Store) uint64 {
-	report := NewReport(ReportInput{Now: testStart, State: book.state})
+func servedIn(store *Store) uint64 {
+	report := NewReport(ReportInput{Now: testStart, State: store.state})
 	return report.Total.Served
 }
 
@@ -59,25 +59,25 @@
 // counters only in memory, and show too many if it replayed its log twice.
 func TestCountersSurviveRestarts(t *testing.T) {
 	folder := t.TempDir()
-	book := openBook(t, folder, wal.OS{})
+	store := openStore(t, folder, wal.OS{})
 	account := testAccount(t, ID{"one", 1}, testStart)
 	var position []byte
 	total := 0
 	for round := range 5 {
 		at := testStart.Add(time.Duration(round) * time.Second)
-		position = copyTo(t, account, book, position, at) // nothing has changed
+		position = copyTo(t, account, store, position, at) // nothing has changed
 		serveMany(account, total, 10)
 		total += 10
-		position = copyTo(t, account, book, position, at)
-		if err := book.Close(); err != nil {
+		position = copyTo(t, account, store, position, at)
+		if err := store.Close(); err != nil {
 			t.Fatal(err)
 		}
-		book = openBook(t, folder, wal.OS{})
-		if got := servedIn(book); got != uint64(total) {
+		store = openStore(t, folder, wal.OS{})
+		if got := servedIn(store); got != uint64(total) {
 			t.Fatalf("round %d: %d of %d served after the restart", round, got, total)
 		}
 	}
-	if err := book.Close(); err != nil {
+	if err := store.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -87,25 +87,25 @@
 // does not send it again, and the report would lack its requests permanently.
 func TestLogRewriteKeepsTheNewestCopy(t *testing.T) {
 	folder := t.TempDir()
-	book := openBook(t, folder, wal.OS{})
+	store := openStore(t, folder, wal.OS{})
 	account := testAccount(t, ID{"one", 1}, testStart)
 	position, total := []byte(nil), 0
-	for book.rewritten == 0 {
+	for store.rewritten == 0 {
 		serveMany(account, total, 1000)
 		total += 1000
-		position = copyTo(t, account, book, position, testStart)
+		position = copyTo(t, account, store, position, testStart)
 		for range 50 { // as if lost answers had made the instance send everything again
-			book.appended += rewriteMinBytes / 1000
+			store.appended += rewriteMinBytes / 1000
 		}
 	}
-	if err := book.Close(); err != nil {
+	if err := store.Close(); err != nil {
 		t.Fatal(err)
 	}
-	book = openBook(t, folder, wal.OS{})
-	if got := servedIn(book); got != uint64(total) {
+	store = openStore(t, folder, wal.OS{})
+	if got := servedIn(store); got != uint64(total) {
 		t.Fatalf("%d of %d served after the rewrite", got, total)
 	}
-	if again := copyTo(t, account, book, position, testStart); string(again) == string(position) {
+	if again := copyTo(t, account, store, position, testStart); string(again) == string(position) {
 		t.Error("the store no longer applies copies of the account")
 	}
 }
@@ -140,26 +140,26 @@
 // restart of the voter.
 func TestMergeAcknowledgesOnlySyncedCopies(t *testing.T) {
 	full := false
-	book := openBook(t, t.TempDir(), fullDisk{full: &full})
+	store := openStore(t, t.TempDir(), fullDisk{full: &full})
 	account := testAccount(t, ID{"one", 1}, testStart)
 	serveMany(account, 0, 1)
-	position := copyTo(t, account, book, nil, testStart)
+	position := copyTo(t, account, store, nil, testStart)
 	full = true
 	serveMany(account, 1, 1)
 	encoded, _, err := account.Copy(testStart, position)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if position, err := book.Merge(encoded); err == nil {
+	if position, err := store.Merge(encoded); err == nil {
 		t.Fatalf("acknowledged %x", position)
 	}
-	if got := servedIn(book); got != 1 {
+	if got := servedIn(store); got != 1 {
 		t.Errorf("the report shows %d served requests, 1 is synced", got)
 	}
 }
 
 func TestMergeRejectsMalformedCopies(t *testing.T) {
-	book := openBook(t, t.TempDir(), wal.OS{})
+	store := openStore(t, t.TempDir(), wal.OS{})
 	unsorted := Copy{ID: ID{"one", 1}, To: 1, Series: []SeriesCopy{{Counters: Counters{
 		Fields: []Field{9, 3}, Values: []uint64{1, 1},
 	}}}}
@@ -170,7 +170,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := book.Merge(encoded); err == nil {
+		if _, err := store.Merge(encoded); err == nil {
 			t.Errorf("%+v was accepted", c)
 		}
 	}
--- a/ledger/trim_test.go
+++ b/ledger/trim_test.go
@@ -41,16 +41,16 @@
 // of all other instances would appear a year old, be dropped, and be missing from
 // every window.
 func TestWrongClockOfOneInstanceDoesNotAffectOthers(t *testing.T) {
-	book := openBook(t, t.TempDir(), fullDisk{full: new(bool)})
+	store := openStore(t, t.TempDir(), fullDisk{full: new(bool)})
 	right := testAccount(t, ID{"right", 1}, testStart)
 	wrong := testAccount(t, ID{"wrong", 1}, testStart.Add(365*24*time.Hour))
 	serveMany(right, 0, 10)
 	serveMany(wrong, 0, 5)
-	copyTo(t, right, book, nil, testStart)
-	copyTo(t, wrong, book, nil, testStart.Add(365*24*time.Hour))
-	book.state.Trim(book.clock.Now())
+	copyTo(t, right, store, nil, testStart)
+	copyTo(t, wrong, store, nil, testStart.Add(365*24*time.Hour))
+	store.state.Trim(store.clock.Now())
 	query := Query{Since: testStart.Add(-5 * time.Minute)}
-	report := NewReport(ReportInput{Query: query, Now: testStart, State: book.state})
+	report := NewReport(ReportInput{Query: query, Now: testStart, State: store.state})
 	if report.Total.Served != 15 {
 		t.Errorf("%d of 15 served", report.Total.Served)
 	}
