--- a/ledger/report.go
+++ b/ledger/report.go
@@ -80,8 +80,8 @@
 
 // The reasons of an UnknownEnd.
 const (
-	EndDead       = "dead"        // ended without sending a final copy
-	EndNotReached = "not reached" // listed as alive by the control group, but did not answer
+	EndDead        = "dead"        // ended without sending a final copy
+	EndUnreachable = "not reached" // listed as alive by the control group, but did not answer
 )
 
 // Unplaced counts requests that are part of a report without Since, but for which
--- a/ledger/unknown.go
+++ b/ledger/unknown.go
@@ -49,7 +49,7 @@
 
 func (in *ReportInput) endReason(id ID) string {
 	if in.Listed[id] {
-		return EndNotReached
+		return EndUnreachable
 	}
 	return EndDead
 }
