--- a/accounting/merge_stores.go
+++ b/accounting/merge_stores.go
@@ -14,11 +14,11 @@
 	mergeInterval      = time.Hour
 )
 
-// KeepBook merges the counters of the other voters into the store of this voter until
+// RunMerges merges the counters of the other voters into the store of this voter until
 // the context ends: immediately, because this voter may have lost its disk, and then
 // periodically, because it may have been unavailable while an instance ended. It
 // returns at once on an instance without a store.
-func (r *Reporter) KeepBook(ctx context.Context) {
+func (r *Reporter) RunMerges(ctx context.Context) {
 	if r.opts.Book == nil {
 		return
 	}
--- a/instance/run.go
+++ b/instance/run.go
@@ -80,7 +80,7 @@
 	group.Go(func() error { return stateDemands(copying, node, server) })
 	group.Go(func() error { return books.copy(copying) })
 	group.Go(func() error {
-		books.reports.KeepBook(copying)
+		books.reports.RunMerges(copying)
 		return nil
 	})
 	group.Go(func() error {
