--- a/accounting/fleet_test.go
+++ b/accounting/fleet_test.go
@@ -155,7 +155,7 @@
 		Log: i.fleet.log, Operations: i, View: i.fleet.view, Book: i.store, Address: i.address(), Clock: i.fleet,
 		Voters: i.fleet.members(),
 	})
-	i.reporter.Count(i.account)
+	i.reporter.SetAccount(i.account)
 	i.listener = fasthttputil.NewInmemoryListener()
 	server := &http.Server{Handler: rpc.NewControlServer(&testService{instance: i})}
 	listener := i.listener
--- a/accounting/reporter.go
+++ b/accounting/reporter.go
@@ -45,10 +45,10 @@
 	account atomic.Pointer[ledger.Account]
 }
 
-// Count sets the account of this incarnation. It is separate from NewReporter because
+// SetAccount sets the account of this incarnation. It is separate from NewReporter because
 // commands have to be registered before the instance starts, while its incarnation is
 // known only afterwards.
-func (r *Reporter) Count(account *ledger.Account) { r.account.Store(account) }
+func (r *Reporter) SetAccount(account *ledger.Account) { r.account.Store(account) }
 
 // NewReporter returns a reporter and registers its commands. It must be called before
 // the instance starts.
--- a/instance/books.go
+++ b/instance/books.go
@@ -72,7 +72,7 @@
 	id := ledger.ID{Instance: b.options.Process.Name, Incarnation: node.View().Incarnation}
 	b.account = ledger.NewAccount(id, time.Now(), b.options.Log)
 	b.account.Follow(func() *settings.Tree { return node.View().Tree })
-	b.reports.Count(b.account)
+	b.reports.SetAccount(b.account)
 	b.copier = accounting.NewCopier(accounting.CopierOptions{
 		Log:     b.options.Log,
 		Account: b.account,
