--- a/accounting/fleet_test.go
+++ b/accounting/fleet_test.go
@@ -152,7 +152,7 @@
 		Timeout: time.Hour, // syncing on a busy machine may exceed the default time-out
 	})
 	i.reporter = NewReporter(ReporterOptions{
-		Log: i.fleet.log, Operations: i, View: i.fleet.view, Book: i.store, Address: i.address(), Clock: i.fleet,
+		Log: i.fleet.log, Operations: i, View: i.fleet.view, Store: i.store, Address: i.address(), Clock: i.fleet,
 		Voters: i.fleet.members(),
 	})
 	i.reporter.SetAccount(i.account)
--- a/accounting/gather.go
+++ b/accounting/gather.go
@@ -156,8 +156,8 @@
 	if account := r.account.Load(); account != nil {
 		answer.Account, err = ledger.EncodeAccount(account.Snapshot(r.opts.Clock.Now(), 0))
 	}
-	if err == nil && r.opts.Book != nil {
-		answer.Store, err = r.opts.Book.Encoded()
+	if err == nil && r.opts.Store != nil {
+		answer.Store, err = r.opts.Store.Encoded()
 	}
 	return answer, err
 }
--- a/accounting/merge_stores.go
+++ b/accounting/merge_stores.go
@@ -19,7 +19,7 @@
 // periodically, because it may have been unavailable while an instance ended. It
 // returns at once on an instance without a store.
 func (r *Reporter) RunMerges(ctx context.Context) {
-	if r.opts.Book == nil {
+	if r.opts.Store == nil {
 		return
 	}
 	timer := time.NewTimer(0)
@@ -54,7 +54,7 @@
 		}
 		others = append(others, dump.Book)
 	}
-	if _, err := r.opts.Book.MergeStates(r.opts.Clock.Now(), others); err != nil {
+	if _, err := r.opts.Store.MergeStates(r.opts.Clock.Now(), others); err != nil {
 		mergeFailed.Log(r.opts.Log, event.Fields{"error": err.Error()})
 		return false
 	}
--- a/accounting/reporter.go
+++ b/accounting/reporter.go
@@ -29,7 +29,7 @@
 	Log        logrus.FieldLogger
 	Operations control.Operations
 	View       func() *control.View
-	Book       *ledger.Store // nil unless the instance is a voter
+	Store      *ledger.Store // nil unless the instance is a voter
 	Address    string        // control address of this instance
 	// Voters lists the voters in the process settings. They are queried as long as
 	// the control group has named none: without a majority, a restarted instance
--- a/instance/books.go
+++ b/instance/books.go
@@ -59,7 +59,7 @@
 		Log:        b.options.Log,
 		Operations: node,
 		View:       node.View,
-		Book:       b.book,
+		Store:      b.book,
 		Address:    b.options.Process.ControlAdvertise,
 		Voters:     b.options.Process.Voters,
 	})
