--- a/accounting/differential_test.go
+++ b/accounting/differential_test.go
@@ -193,7 +193,7 @@
 			d.t.Errorf("%v is running but reported as unknown", id)
 		}
 	}
-	complete := len(report.MissingBooks) == 0
+	complete := len(report.MissingVoters) == 0
 	for id := range d.killed {
 		if complete && !unknown[id] {
 			d.t.Errorf("%v was killed but is not reported as unknown", id)
--- a/accounting/merge_stores_test.go
+++ b/accounting/merge_stores_test.go
@@ -79,12 +79,12 @@
 	f.emptyView = true
 	f.instances[0].start(t)
 	report := f.instances[0].reporter.Report(context.Background(), ledger.Query{})
-	if len(report.MissingBooks) != 2 || report.Total.Served != 5 {
-		t.Errorf("missing %v, served %d", report.MissingBooks, report.Total.Served)
+	if len(report.MissingVoters) != 2 || report.Total.Served != 5 {
+		t.Errorf("missing %v, served %d", report.MissingVoters, report.Total.Served)
 	}
 	f.instances[1].start(t)
 	report = f.instances[0].reporter.Report(context.Background(), ledger.Query{})
-	if len(report.MissingBooks) != 1 {
-		t.Errorf("missing %v after one voter restarted", report.MissingBooks)
+	if len(report.MissingVoters) != 1 {
+		t.Errorf("missing %v after one voter restarted", report.MissingVoters)
 	}
 }
--- a/cli/report_process_test.go
+++ b/cli/report_process_test.go
@@ -227,8 +227,8 @@
 		t.Errorf("received %d, tried %d; served %d, seen %d, executed %d",
 			got.Received, first.Tries, got.Served, first.All.Served, f.executed())
 	}
-	if len(report.Unknown)+len(report.MissingBooks) > 0 {
-		t.Errorf("unknown without a failure: %+v %v", report.Unknown, report.MissingBooks)
+	if len(report.Unknown)+len(report.MissingVoters) > 0 {
+		t.Errorf("unknown without a failure: %+v %v", report.Unknown, report.MissingVoters)
 	}
 
 	const victim = reportInstances - 1
--- a/ledger/report.go
+++ b/ledger/report.go
@@ -25,9 +25,9 @@
 	Latencies    []Latency    `json:"latencies"`
 	Unknown      []UnknownEnd `json:"unknown"`
 	Unplaced     []Unplaced   `json:"unplaced,omitempty"`
-	// MissingBooks lists the voters that did not answer. The report lacks counters
+	// MissingVoters lists the voters that did not answer. The report lacks counters
 	// of ended instances that only these voters hold.
-	MissingBooks []string `json:"missing_books,omitempty"`
+	MissingVoters []string `json:"missing_books,omitempty"`
 	// DroppedUpTo is set in a report without Since from which old incarnations were
 	// dropped: the time at which the newest of them ended.
 	DroppedUpTo time.Time `json:"dropped_up_to,omitzero"`
--- a/ledger/report_table.go
+++ b/ledger/report_table.go
@@ -36,9 +36,9 @@
 	if !r.DroppedUpTo.IsZero() {
 		p.line("dropped for their age: instances that ended up to %s", r.DroppedUpTo.UTC().Format(timeFormat))
 	}
-	if len(r.MissingBooks) > 0 {
+	if len(r.MissingVoters) > 0 {
 		p.line("voters that did not answer: %s; what only they know of ended instances is missing",
-			strings.Join(r.MissingBooks, ", "))
+			strings.Join(r.MissingVoters, ", "))
 	}
 	return p.finish()
 }
