--- a/accounting/gather.go
+++ b/accounting/gather.go
@@ -29,12 +29,12 @@
 
 func (k *fleetState) input(query ledger.Query, now time.Time) ledger.ReportInput {
 	return ledger.ReportInput{
-		Query:        query,
-		Now:          now,
-		State:        k.state,
-		Live:         k.live,
-		Listed:       k.listed,
-		MissingBooks: k.missingVoters,
+		Query:         query,
+		Now:           now,
+		State:         k.state,
+		Live:          k.live,
+		Listed:        k.listed,
+		MissingVoters: k.missingVoters,
 	}
 }
 
--- a/ledger/report_build.go
+++ b/ledger/report_build.go
@@ -10,7 +10,7 @@
 func NewReport(in ReportInput) *Report {
 	in.State.Trim(in.Now)
 	totals := collect(&in)
-	report := &Report{At: in.Now, MissingVoters: in.MissingBooks}
+	report := &Report{At: in.Now, MissingVoters: in.MissingVoters}
 	latencies := totals
 	if in.Query.Since.IsZero() {
 		report.DroppedUpTo = in.State.DroppedUpTo
--- a/ledger/report_input.go
+++ b/ledger/report_input.go
@@ -13,8 +13,8 @@
 	// Listed holds the incarnations that the control group lists, whether or not
 	// they answered. The value is true if the control group considers them alive.
 	Listed map[ID]bool
-	// MissingBooks lists the voters that did not answer.
-	MissingBooks []string
+	// MissingVoters lists the voters that did not answer.
+	MissingVoters []string
 }
 
 // LiveOf returns the incarnations whose own account is among the dumps.
