--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func TestRates(t *testing.T) {
+func TestBurnRatesAndBudget(t *testing.T) {
 	const day = 24 * time.Hour
 	steady := traffic{ago: 2 * day, n: 900, organisation: "atelier", end: goodRequest}
 	cases := []struct {
--- a/metrics/buckets.go
+++ b/metrics/buckets.go
@@ -15,7 +15,7 @@
 	cumulative map[float64]uint64
 }
 
-func newBuckets() *histogramBuckets {
+func newHistogramBuckets() *histogramBuckets {
 	b := &histogramBuckets{cumulative: map[float64]uint64{}}
 	for _, bound := range bucketBounds {
 		b.cumulative[bound] = 0
--- a/metrics/control.go
+++ b/metrics/control.go
@@ -29,23 +29,23 @@
 }
 
 // Describe implements prometheus.Collector.
-func (c *Control) Describe(to chan<- *prometheus.Desc) {
+func (c *Control) Describe(ch chan<- *prometheus.Desc) {
 	for _, m := range []*metric{controlLeaseSeconds, controlQuorum, controlRevision, membershipInstances, upstreamKnown} {
-		to <- m.desc
+		ch <- m.desc
 	}
 }
 
 // Collect implements prometheus.Collector.
-func (c *Control) Collect(to chan<- prometheus.Metric) {
+func (c *Control) Collect(ch chan<- prometheus.Metric) {
 	view := c.view()
 	if view == nil {
 		return
 	}
-	controlLeaseSeconds.send(to, max(0, view.LeaseUntil.Sub(c.clock.Now()).Seconds()))
-	controlQuorum.send(to, boolToFloat(view.HasQuorum))
-	controlRevision.send(to, float64(revision(view)))
-	collectInstances(view, to)
-	collectUpstreams(view, to)
+	controlLeaseSeconds.send(ch, max(0, view.LeaseUntil.Sub(c.clock.Now()).Seconds()))
+	controlQuorum.send(ch, boolToFloat(view.HasQuorum))
+	controlRevision.send(ch, float64(revision(view)))
+	collectInstances(view, ch)
+	collectUpstreams(view, ch)
 }
 
 func revision(view *control.View) uint64 {
@@ -55,13 +55,13 @@
 	return view.Tree.Revision
 }
 
-func collectInstances(view *control.View, to chan<- prometheus.Metric) {
+func collectInstances(view *control.View, ch chan<- prometheus.Metric) {
 	counts := map[membership.State]int{}
 	for _, instance := range view.Instances {
 		counts[instance.State]++
 	}
 	for _, state := range []membership.State{membership.Live, membership.Draining, membership.Gone} {
-		membershipInstances.send(to, float64(counts[state]), state.String())
+		membershipInstances.send(ch, float64(counts[state]), state.String())
 	}
 }
 
@@ -71,7 +71,7 @@
 	upstream.Leaving: "leaving",
 }
 
-func collectUpstreams(view *control.View, to chan<- prometheus.Metric) {
+func collectUpstreams(view *control.View, ch chan<- prometheus.Metric) {
 	counts := map[upstream.State]int{}
 	if view.Upstreams != nil {
 		for i := range view.Upstreams.Upstreams {
@@ -79,7 +79,7 @@
 		}
 	}
 	for state, name := range upstreamStates {
-		upstreamKnown.send(to, float64(counts[state]), name)
+		upstreamKnown.send(ch, float64(counts[state]), name)
 	}
 }
 
--- a/metrics/copies.go
+++ b/metrics/copies.go
@@ -19,9 +19,9 @@
 func NewCopies(age func() time.Duration) *Copies { return &Copies{age: age} }
 
 // Describe implements prometheus.Collector.
-func (c *Copies) Describe(to chan<- *prometheus.Desc) { to <- ledgerUncopied.desc }
+func (c *Copies) Describe(ch chan<- *prometheus.Desc) { ch <- ledgerUncopied.desc }
 
 // Collect implements prometheus.Collector.
-func (c *Copies) Collect(to chan<- prometheus.Metric) {
-	ledgerUncopied.send(to, c.age().Seconds())
+func (c *Copies) Collect(ch chan<- prometheus.Metric) {
+	ledgerUncopied.send(ch, c.age().Seconds())
 }
--- a/metrics/metric.go
+++ b/metrics/metric.go
@@ -52,12 +52,12 @@
 	return define(prometheus.UntypedValue, subsystem, name, help, labels...)
 }
 
-func (m *metric) send(to chan<- prometheus.Metric, value float64, labels ...string) {
-	to <- prometheus.MustNewConstMetric(m.desc, m.kind, value, labels...)
+func (m *metric) send(ch chan<- prometheus.Metric, value float64, labels ...string) {
+	ch <- prometheus.MustNewConstMetric(m.desc, m.kind, value, labels...)
 }
 
-func (m *metric) sendHistogram(to chan<- prometheus.Metric, h *histogramBuckets, labels ...string) {
-	to <- prometheus.MustNewConstHistogram(m.desc, h.count, h.sum, h.cumulative, labels...)
+func (m *metric) sendHistogram(ch chan<- prometheus.Metric, h *histogramBuckets, labels ...string) {
+	ch <- prometheus.MustNewConstHistogram(m.desc, h.count, h.sum, h.cumulative, labels...)
 }
 
 // kindName returns the Prometheus type of the metric.
--- a/metrics/requests.go
+++ b/metrics/requests.go
@@ -68,20 +68,20 @@
 }
 
 // Describe implements prometheus.Collector.
-func (r *Requests) Describe(to chan<- *prometheus.Desc) {
+func (r *Requests) Describe(ch chan<- *prometheus.Desc) {
 	for _, m := range plainCounters {
-		to <- m.desc
+		ch <- m.desc
 	}
 	for _, m := range latencyHistograms {
-		to <- m.desc
+		ch <- m.desc
 	}
-	to <- requestsRefused.desc
-	to <- requestsFailed.desc
-	to <- requestsInFlight.desc
+	ch <- requestsRefused.desc
+	ch <- requestsFailed.desc
+	ch <- requestsInFlight.desc
 }
 
 // Collect implements prometheus.Collector.
-func (r *Requests) Collect(to chan<- prometheus.Metric) {
+func (r *Requests) Collect(ch chan<- prometheus.Metric) {
 	groups := map[group]*ledger.Counters{}
 	for _, s := range r.account.Snapshot(r.clock.Now(), 0).Series {
 		key := group{s.Series.Organisation, s.Series.Class}
@@ -92,11 +92,11 @@
 	}
 	latencies := map[latency]*histogramBuckets{}
 	for key, counters := range groups {
-		key.collect(counters, to)
+		key.collect(counters, ch)
 		key.addLatencies(counters, latencies)
 	}
 	for key, h := range latencies {
-		key.send(h, to)
+		key.send(h, ch)
 	}
 }
 
@@ -106,18 +106,18 @@
 	class        string
 }
 
-func (g group) collect(c *ledger.Counters, to chan<- prometheus.Metric) {
-	requestsInFlight.send(to, float64(c.InFlight()), g.organisation, g.class)
+func (g group) collect(c *ledger.Counters, ch chan<- prometheus.Metric) {
+	requestsInFlight.send(ch, float64(c.InFlight()), g.organisation, g.class)
 	for i, f := range c.Fields {
 		value := float64(c.Values[i])
 		switch f.Kind() {
 		case ledger.KindRefused:
-			requestsRefused.send(to, value, g.organisation, g.class, string(f.Reason()))
+			requestsRefused.send(ch, value, g.organisation, g.class, string(f.Reason()))
 		case ledger.KindFailed:
-			requestsFailed.send(to, value, g.organisation, g.class, string(f.Reason()), f.Verdict().String())
+			requestsFailed.send(ch, value, g.organisation, g.class, string(f.Reason()), f.Verdict().String())
 		default:
 			if m := plainCounters[f.Kind()]; m != nil {
-				m.send(to, value, g.organisation, g.class)
+				m.send(ch, value, g.organisation, g.class)
 			}
 		}
 	}
@@ -131,26 +131,26 @@
 	length ledger.Length
 }
 
-func (g group) addLatencies(c *ledger.Counters, to map[latency]*histogramBuckets) {
+func (g group) addLatencies(c *ledger.Counters, latencies map[latency]*histogramBuckets) {
 	for i, f := range c.Fields {
 		if latencyHistograms[f.Kind()] == nil {
 			continue
 		}
 		key := latency{f.Kind(), g.class, f.Length()}
-		if to[key] == nil {
-			to[key] = newBuckets()
+		if latencies[key] == nil {
+			latencies[key] = newHistogramBuckets()
 		}
-		to[key].add(f.Value(), c.Values[i])
+		latencies[key].add(f.Value(), c.Values[i])
 	}
 }
 
-func (l latency) send(h *histogramBuckets, to chan<- prometheus.Metric) {
+func (l latency) send(h *histogramBuckets, ch chan<- prometheus.Metric) {
 	m := latencyHistograms[l.kind]
 	if len(m.labels) == 1 {
-		m.sendHistogram(to, h, l.class)
+		m.sendHistogram(ch, h, l.class)
 		return
 	}
-	m.sendHistogram(to, h, l.class, l.length.String())
+	m.sendHistogram(ch, h, l.class, l.length.String())
 }
 
 var _ prometheus.Collector = (*Requests)(nil)
