--- a/cli/report_process_test.go
+++ b/cli/report_process_test.go
@@ -197,7 +197,7 @@
 // awaitCopied waits until the first voter has all that an instance has counted.
 func (f *reportFleet) awaitCopied(i int) {
 	f.t.Helper()
-	own := f.dump(i).Own
+	own := f.dump(i).Account
 	if len(own.Series) == 0 {
 		f.t.Fatal("the instance has counted nothing")
 	}
--- a/ledger/dump.go
+++ b/ledger/dump.go
@@ -3,8 +3,8 @@
 // Dump holds the counters that one instance contributes to a report: its own
 // account and, on a voter, the state of its store.
 type Dump struct {
-	Own  *Copy  // whole account, nil if the instance keeps none
-	Book *State // nil unless the instance is a voter
+	Account *Copy  // whole account, nil if the instance keeps none
+	Book    *State // nil unless the instance is a voter
 }
 
 // Combine merges the dumps of several instances into one state. It starts from the
@@ -18,8 +18,8 @@
 		}
 	}
 	for _, d := range dumps {
-		if d.Own != nil {
-			state.Apply(d.Own)
+		if d.Account != nil {
+			state.Apply(d.Account)
 		}
 	}
 	return state
--- a/ledger/encode_dump.go
+++ b/ledger/encode_dump.go
@@ -11,10 +11,10 @@
 	d := &Dump{}
 	var err error
 	if len(account) > 0 {
-		if d.Own, err = decodeCopy(account); err != nil {
+		if d.Account, err = decodeCopy(account); err != nil {
 			return nil, err
 		}
-		d.Own.correctClock(now)
+		d.Account.correctClock(now)
 	}
 	if len(store) > 0 {
 		if d.Book, err = decodeState(store); err != nil {
--- a/ledger/property_test.go
+++ b/ledger/property_test.go
@@ -20,7 +20,7 @@
 	}
 	for _, a := range m.accounts {
 		if rapid.Bool().Draw(t, "reached") {
-			dumps = append(dumps, &Dump{Own: a.Snapshot(m.now, 0)})
+			dumps = append(dumps, &Dump{Account: a.Snapshot(m.now, 0)})
 		}
 	}
 	live := LiveOf(dumps)
--- a/ledger/report_input.go
+++ b/ledger/report_input.go
@@ -21,8 +21,8 @@
 func LiveOf(dumps []*Dump) map[ID]bool {
 	live := map[ID]bool{}
 	for _, d := range dumps {
-		if d.Own != nil {
-			live[d.Own.ID] = true
+		if d.Account != nil {
+			live[d.Account.ID] = true
 		}
 	}
 	return live
