--- a/accounting/gather.go
+++ b/accounting/gather.go
@@ -69,7 +69,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			dumps = append(dumps, dump)
-			if dump.Book != nil {
+			if dump.Store != nil {
 				delete(missing, address)
 			}
 			return nil
--- a/accounting/merge_stores.go
+++ b/accounting/merge_stores.go
@@ -48,11 +48,11 @@
 			continue
 		}
 		dump, err := r.ask(ctx, address)
-		if err != nil || dump.Book == nil {
+		if err != nil || dump.Store == nil {
 			complete = false
 			continue
 		}
-		others = append(others, dump.Book)
+		others = append(others, dump.Store)
 	}
 	if _, err := r.opts.Store.MergeStates(r.opts.Clock.Now(), others); err != nil {
 		mergeFailed.Log(r.opts.Log, event.Fields{"error": err.Error()})
--- a/cli/report_process_test.go
+++ b/cli/report_process_test.go
@@ -203,7 +203,7 @@
 	}
 	deadline := time.Now().Add(processTimeout)
 	for time.Now().Before(deadline) {
-		if known := f.dump(0).Book.Incarnations[own.ID]; known != nil && known.Sequence >= own.To {
+		if known := f.dump(0).Store.Incarnations[own.ID]; known != nil && known.Sequence >= own.To {
 			return
 		}
 	}
--- a/ledger/dump.go
+++ b/ledger/dump.go
@@ -4,7 +4,7 @@
 // account and, on a voter, the state of its store.
 type Dump struct {
 	Account *Copy  // whole account, nil if the instance keeps none
-	Book    *State // nil unless the instance is a voter
+	Store   *State // nil unless the instance is a voter
 }
 
 // Combine merges the dumps of several instances into one state. It starts from the
@@ -13,8 +13,8 @@
 func Combine(dumps []*Dump) *State {
 	state := mostCompleteState(dumps)
 	for _, d := range dumps {
-		if d.Book != nil && d.Book != state {
-			state.merge(d.Book)
+		if d.Store != nil && d.Store != state {
+			state.merge(d.Store)
 		}
 	}
 	for _, d := range dumps {
@@ -36,8 +36,8 @@
 func mostCompleteState(dumps []*Dump) *State {
 	var mostComplete *State
 	for _, d := range dumps {
-		if d.Book != nil && (mostComplete == nil || d.Book.placedRequests() > mostComplete.placedRequests()) {
-			mostComplete = d.Book
+		if d.Store != nil && (mostComplete == nil || d.Store.placedRequests() > mostComplete.placedRequests()) {
+			mostComplete = d.Store
 		}
 	}
 	if mostComplete == nil {
--- a/ledger/encode_dump.go
+++ b/ledger/encode_dump.go
@@ -17,7 +17,7 @@
 		d.Account.correctClock(now)
 	}
 	if len(store) > 0 {
-		if d.Book, err = decodeState(store); err != nil {
+		if d.Store, err = decodeState(store); err != nil {
 			return nil, err
 		}
 	}
--- a/ledger/merge_states.go
+++ b/ledger/merge_states.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return false, err
 	}
-	merged := Combine(append(dumpsOf(others), &Dump{Book: ownState}))
+	merged := Combine(append(dumpsOf(others), &Dump{Store: ownState}))
 	record, err := stateRecord(merged)
 	if err != nil {
 		return false, err
@@ -65,7 +65,7 @@
 func dumpsOf(states []*State) []*Dump {
 	dumps := make([]*Dump, 0, len(states)+1)
 	for _, state := range states {
-		dumps = append(dumps, &Dump{Book: state})
+		dumps = append(dumps, &Dump{Store: state})
 	}
 	return dumps
 }
--- a/ledger/property_test.go
+++ b/ledger/property_test.go
@@ -16,7 +16,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		dumps = append(dumps, &Dump{Book: state})
+		dumps = append(dumps, &Dump{Store: state})
 	}
 	for _, a := range m.accounts {
 		if rapid.Bool().Draw(t, "reached") {
@@ -65,7 +65,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		dumps = append(dumps, &Dump{Book: state})
+		dumps = append(dumps, &Dump{Store: state})
 	}
 	state := Combine(dumps)
 	all := NewReport(ReportInput{Now: m.now, State: state})
