--- a/accounting/burn_test.go
+++ b/accounting/burn_test.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-func TestBurnIsForOperatorsOnly(t *testing.T) {
+func TestBurnPageRequiresAnOperatorKey(t *testing.T) {
 	f := newFleetOf(t, 1, 0)
 	countServed(f, f.instances[0], 5)
 	const key = "example-only-operator-key"
@@ -39,7 +39,7 @@
 				t.Errorf("no %q in %.200s", c.want, ctx.Response.Body())
 			}
 			if c.status == http.StatusUnauthorized && len(ctx.Response.Header.Peek(fasthttp.HeaderWWWAuthenticate)) == 0 {
-				t.Error("a browser is not asked for the key")
+				t.Error("no WWW-Authenticate header, so browsers do not prompt for the key")
 			}
 		})
 	}
--- a/accounting/copier.go
+++ b/accounting/copier.go
@@ -15,14 +15,14 @@
 	"celeryport/rpc"
 )
 
-// The intervals of the copies. What an instance counted after its last copy is
-// unknown when it is killed.
+// Defaults for copies to the voters. If an instance is killed, the requests that it
+// counted after its last copy are unknown.
 const (
 	DefaultInterval = 2 * time.Second
 	DefaultTimeout  = 3 * time.Second
 )
 
-// CopierOptions set up a Copier. Log, Account, Clients and View must be set.
+// CopierOptions configure a Copier. Log, Account, Clients and View are required.
 type CopierOptions struct {
 	Log      logrus.FieldLogger
 	Account  ledger.Source
@@ -30,7 +30,7 @@
 	View     func() *control.View
 	Interval time.Duration // zero: DefaultInterval
 	Timeout  time.Duration // of one copy; zero: DefaultTimeout
-	Clock    clock.Clock   // nil: the machine's
+	Clock    clock.Clock   // nil: the system clock
 }
 
 // Copier copies the account of this instance to every voter.
@@ -38,11 +38,11 @@
 	opts CopierOptions
 	send func(ctx context.Context, address string, encoded []byte) (*rpc.LedgerResponse, error)
 
-	mu        sync.Mutex
-	positions map[string][]byte // what each voter has, by control address
-	failing   map[string]bool
-	busy      map[string]bool // a copy to the voter is under way
-	storedAt  time.Time       // when a voter last had everything
+	mu            sync.Mutex
+	positions     map[string][]byte // last position returned by each voter, by control address
+	failing       map[string]bool
+	inProgress    map[string]bool // voters to which a copy is in progress
+	fullyCopiedAt time.Time       // when any voter last had all counters
 }
 
 // NewCopier returns a copier that has copied nothing yet.
@@ -56,22 +56,21 @@
 	if opts.Clock == nil {
 		opts.Clock = clock.Real{}
 	}
-	c := &Copier{opts: opts, positions: map[string][]byte{}, failing: map[string]bool{}, busy: map[string]bool{}}
+	c := &Copier{opts: opts, positions: map[string][]byte{}, failing: map[string]bool{}, inProgress: map[string]bool{}}
 	c.send = c.call
-	c.storedAt = opts.Clock.Now()
+	c.fullyCopiedAt = opts.Clock.Now()
 	return c
 }
 
-// Age is the time since a voter last had everything that was counted.
+// Age returns the time since any voter last had all counters of this instance.
 func (c *Copier) Age() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.opts.Clock.Now().Sub(c.storedAt)
+	return c.opts.Clock.Now().Sub(c.fullyCopiedAt)
 }
 
-// Run copies until the context ends. Flush makes the first copy before the first
-// request, so that the voters know of this incarnation, and the last one
-// afterwards.
+// Run copies at every interval until the context ends. Call Flush before the first
+// request, so that the voters know of this incarnation, and again after Run.
 func (c *Copier) Run(ctx context.Context) {
 	ticker := time.NewTicker(c.opts.Interval)
 	defer ticker.Stop()
@@ -82,15 +81,15 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			c.copyToIdle(ctx, &group)
+			c.copyToIdleVoters(ctx, &group)
 		}
 	}
 }
 
-// copyToIdle begins a copy to every voter to which none is under way. One that
-// hangs, on a connection gone silent, must not keep the counters from the others:
-// were this instance killed then, more would be unknown than need be.
-func (c *Copier) copyToIdle(ctx context.Context, group *sync.WaitGroup) {
+// copyToIdleVoters starts a copy to every voter to which no copy is in progress. A
+// copy that hangs on an unresponsive connection must not delay copies to the other
+// voters, or more requests would be unknown if this instance were killed.
+func (c *Copier) copyToIdleVoters(ctx context.Context, group *sync.WaitGroup) {
 	for _, address := range c.voters() {
 		if !c.begin(address) {
 			continue
@@ -105,20 +104,21 @@
 func (c *Copier) begin(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.busy[address] {
+	if c.inProgress[address] {
 		return false
 	}
-	c.busy[address] = true
+	c.inProgress[address] = true
 	return true
 }
 
 func (c *Copier) end(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.busy, address)
+	delete(c.inProgress, address)
 }
 
-// Flush copies to all voters once, and returns how many of them have everything.
+// Flush copies to all voters once and returns the number of voters that have all
+// counters.
 func (c *Copier) Flush(ctx context.Context) int {
 	voters := c.voters()
 	stored := make([]bool, len(voters))
@@ -150,23 +150,24 @@
 	return addresses
 }
 
-// exchanges is how many copies bring a voter up to date: if it lacks what came
-// before the first one, its answer says so, and the second starts from there.
-const exchanges = 2
+// maxExchanges is the number of copies needed to bring a voter up to date. If the
+// first copy leaves a gap, the voter returns its actual position, and the second
+// copy starts from there.
+const maxExchanges = 2
 
 func (c *Copier) copyTo(ctx context.Context, address string) bool {
-	for range exchanges {
+	for range maxExchanges {
 		takenAt := c.opts.Clock.Now()
 		encoded, upTo, err := c.opts.Account.Copy(takenAt, c.position(address))
 		if err == nil {
 			err = c.exchange(ctx, address, encoded)
 		}
-		c.note(address, err)
+		c.logTransition(address, err)
 		if err != nil {
 			return false
 		}
 		if bytes.Compare(c.position(address), upTo) >= 0 {
-			c.noteStored(takenAt)
+			c.recordStored(takenAt)
 			return true
 		}
 	}
@@ -186,7 +187,7 @@
 	return nil
 }
 
-// call is send over the control protocol.
+// call implements send with the control protocol.
 func (c *Copier) call(ctx context.Context, address string, encoded []byte) (*rpc.LedgerResponse, error) {
 	response, err := c.opts.Clients.At(address).CopyLedger(ctx, &rpc.LedgerRequest{Copy: encoded})
 	return response, rpc.FromTwirp(err)
@@ -198,17 +199,17 @@
 	return c.positions[address]
 }
 
-func (c *Copier) noteStored(at time.Time) {
+func (c *Copier) recordStored(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if at.After(c.storedAt) {
-		c.storedAt = at
+	if at.After(c.fullyCopiedAt) {
+		c.fullyCopiedAt = at
 	}
 }
 
-// note logs when copies to a voter begin to fail and when they succeed again,
-// not every one between.
-func (c *Copier) note(address string, err error) {
+// logTransition logs when copies to a voter start to fail and when they succeed
+// again, rather than logging each failed copy.
+func (c *Copier) logTransition(address string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	failed := err != nil
--- a/accounting/fleet_test.go
+++ b/accounting/fleet_test.go
@@ -33,22 +33,22 @@
 `
 
 var (
-	testStart = time.Date(2026, 3, 1, 9, 0, 0, 0, time.UTC)
-	errCut    = errors.New("no connection")
+	testStart         = time.Date(2026, 3, 1, 9, 0, 0, 0, time.UTC)
+	errConnectionLost = errors.New("no connection")
 )
 
-// testFleet is a fleet of accounts, copiers, books and reporters, joined by the
-// real protocol over connections in memory.
+// testFleet is a fleet of accounts, copiers, stores and reporters, which are
+// connected by the real protocol over in-memory connections.
 type testFleet struct {
 	now       time.Time
 	tree      *settings.Tree
 	log       logrus.FieldLogger
 	folder    func() string
-	blind     bool // no control group has named any instance
+	emptyView bool // views list no instances, as before the first contact with a control group
 	instances []*testInstance
 }
 
-// testInstance is one instance; it keeps its name over restarts.
+// testInstance is one instance. It keeps its name across restarts.
 type testInstance struct {
 	fleet       *testFleet
 	name        string
@@ -57,7 +57,7 @@
 	incarnation uint64
 	folder      string
 	account     *ledger.Account
-	book        *ledger.Book
+	store       *ledger.Store
 	copier      *Copier
 	reporter    *Reporter
 	handlers    map[string]control.Handler
@@ -65,9 +65,9 @@
 	listener    *fasthttputil.InmemoryListener
 }
 
-type fataler interface{ Fatal(args ...any) }
+type fatalReporter interface{ Fatal(args ...any) }
 
-func newTestFleet(t fataler, folder func() string, voters, others int) *testFleet {
+func newTestFleet(t fatalReporter, folder func() string, voters, others int) *testFleet {
 	tree, err := settings.ParseTree("tree.ini", []byte(testTree))
 	if err != nil {
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 
 func (f *testFleet) view() *control.View {
 	view := &control.View{Tree: f.tree}
-	if f.blind {
+	if f.emptyView {
 		return view
 	}
 	for _, i := range f.instances {
@@ -105,7 +105,7 @@
 	return view
 }
 
-// members are the voters as every process has them in its settings.
+// members returns the voters as listed in the process settings of every instance.
 func (f *testFleet) members() []settings.Member {
 	var members []settings.Member
 	for _, i := range f.instances {
@@ -133,29 +133,29 @@
 
 func (i *testInstance) address() string { return i.name + ":1" }
 
-func (i *testInstance) start(t fataler) {
+func (i *testInstance) start(t fatalReporter) {
 	i.up = true
 	i.incarnation++
 	i.handlers = map[string]control.Handler{}
 	if i.voter {
-		book, err := ledger.OpenBook(i.folder, wal.OS{}, i.fleet.log, i.fleet)
+		store, err := ledger.OpenStore(i.folder, wal.OS{}, i.fleet.log, i.fleet)
 		if err != nil {
 			t.Fatal(err)
 		}
-		i.book = book
+		i.store = store
 	}
 	i.account = ledger.NewAccount(ledger.ID{Instance: i.name, Incarnation: i.incarnation}, i.fleet.now, i.fleet.log)
 	i.account.Configure(i.fleet.tree)
 	i.clients = rpc.NewClients("example-only-instance", i.fleet.dial)
 	i.copier = NewCopier(CopierOptions{
 		Log: i.fleet.log, Account: i.account, Clients: i.clients, View: i.fleet.view, Clock: i.fleet,
-		Timeout: time.Hour, // a disk of a busy machine may take longer than the usual one
+		Timeout: time.Hour, // syncing on a busy machine may exceed the default time-out
 	})
 	i.reporter = NewReporter(ReporterOptions{
-		Log: i.fleet.log, Operations: i, View: i.fleet.view, Book: i.book, Address: i.address(), Clock: i.fleet,
+		Log: i.fleet.log, Operations: i, View: i.fleet.view, Store: i.store, Address: i.address(), Clock: i.fleet,
 		Voters: i.fleet.members(),
 	})
-	i.reporter.Count(i.account)
+	i.reporter.SetAccount(i.account)
 	i.listener = fasthttputil.NewInmemoryListener()
 	server := &http.Server{Handler: rpc.NewControlServer(&testService{instance: i})}
 	listener := i.listener
@@ -163,8 +163,8 @@
 	i.copier.Flush(context.Background())
 }
 
-// kill ends the instance as a signal would: nothing is copied, and connections
-// break.
+// kill stops the instance like SIGKILL: without a final copy, and with its
+// connections broken.
 func (i *testInstance) kill() {
 	if !i.up {
 		return
@@ -172,8 +172,8 @@
 	i.up = false
 	i.clients.Close()
 	_ = i.listener.Close()
-	if i.book != nil {
-		_ = i.book.Close()
+	if i.store != nil {
+		_ = i.store.Close()
 	}
 }
 
@@ -184,7 +184,7 @@
 func (i *testInstance) Ask(ctx context.Context, address, command string, body []byte) ([]byte, error) {
 	other := i.fleet.at(address)
 	if other == nil {
-		return nil, errCut
+		return nil, errConnectionLost
 	}
 	return other.handlers[command](ctx, body)
 }
@@ -192,12 +192,12 @@
 func (f *testFleet) dial(_ context.Context, _, address string) (net.Conn, error) {
 	other := f.at(address)
 	if other == nil {
-		return nil, errCut
+		return nil, errConnectionLost
 	}
 	return other.listener.Dial()
 }
 
-// testService takes the copies of accounts; nothing else is called.
+// testService implements only CopyLedger; no other method is called.
 type testService struct {
 	rpc.Control
 	instance *testInstance
@@ -206,9 +206,9 @@
 // CopyLedger implements rpc.Control.
 func (s *testService) CopyLedger(_ context.Context, in *rpc.LedgerRequest) (*rpc.LedgerResponse, error) {
 	if !s.instance.up {
-		return nil, errCut
+		return nil, errConnectionLost
 	}
-	position, err := s.instance.book.Merge(in.Copy)
+	position, err := s.instance.store.Merge(in.Copy)
 	return &rpc.LedgerResponse{Stored: position}, err
 }
 
--- a/accounting/gather.go
+++ b/accounting/gather.go
@@ -14,41 +14,43 @@
 	"celeryport/membership"
 )
 
-// dumpsAtOnce bounds the instances that a report asks at the same time.
-const dumpsAtOnce = 16
+// maxConcurrentDumps bounds the number of instances that a report queries at the
+// same time.
+const maxConcurrentDumps = 16
 
-// knowledge is what all instances together know.
-type knowledge struct {
+// fleetState holds the combined counters of all instances that answered.
+type fleetState struct {
 	state  *ledger.State
 	live   map[ledger.ID]bool
-	listed map[ledger.ID]bool // true: alive for the control group
+	listed map[ledger.ID]bool // true: alive according to the control group
 
-	missingBooks []string // voters that did not answer
+	missingVoters []string // voters that did not answer
 }
 
-func (k *knowledge) input(query ledger.Query, now time.Time) ledger.ReportInput {
+func (k *fleetState) input(query ledger.Query, now time.Time) ledger.ReportInput {
 	return ledger.ReportInput{
-		Query:        query,
-		Now:          now,
-		State:        k.state,
-		Live:         k.live,
-		Listed:       k.listed,
-		MissingBooks: k.missingBooks,
+		Query:         query,
+		Now:           now,
+		State:         k.state,
+		Live:          k.live,
+		Listed:        k.listed,
+		MissingVoters: k.missingVoters,
 	}
 }
 
-// dumpAnswer is the JSON answer of the dump command. A report asks the other
-// instances by it; what does not answer in time shows as unknown, not as zero.
+// dumpAnswer is the JSON response to the dump command, which a report sends to all
+// other instances. An instance that does not answer in time is reported as unknown
+// rather than as zero.
 type dumpAnswer struct {
-	Own  []byte `json:"own,omitempty"`
-	Book []byte `json:"book,omitempty"`
+	Account []byte `json:"own,omitempty"`
+	Store   []byte `json:"book,omitempty"`
 }
 
-// gather asks this and all other instances that are not known to be gone.
-func (r *Reporter) gather(ctx context.Context) knowledge {
-	books := r.voters()
+// gather queries this instance and all others that are not known to be gone.
+func (r *Reporter) gather(ctx context.Context) fleetState {
+	missing := r.voters()
 	listed, addresses := r.listed()
-	for address := range books {
+	for address := range missing {
 		if !slices.Contains(addresses, address) {
 			addresses = append(addresses, address)
 		}
@@ -56,7 +58,7 @@
 	var mu sync.Mutex
 	var dumps []*ledger.Dump
 	var group errgroup.Group
-	group.SetLimit(dumpsAtOnce)
+	group.SetLimit(maxConcurrentDumps)
 	for _, address := range addresses {
 		group.Go(func() error {
 			dump, err := r.ask(ctx, address)
@@ -67,19 +69,19 @@
 			mu.Lock()
 			defer mu.Unlock()
 			dumps = append(dumps, dump)
-			if dump.Book != nil {
-				delete(books, address)
+			if dump.Store != nil {
+				delete(missing, address)
 			}
 			return nil
 		})
 	}
-	_ = group.Wait() // the functions return no error
+	_ = group.Wait() // the functions never return an error
 	live := ledger.LiveOf(dumps)
-	return knowledge{
-		state:        ledger.Combine(dumps),
-		live:         live,
-		listed:       listed,
-		missingBooks: slices.Sorted(maps.Values(books)),
+	return fleetState{
+		state:         ledger.Combine(dumps),
+		live:          live,
+		listed:        listed,
+		missingVoters: slices.Sorted(maps.Values(missing)),
 	}
 }
 
@@ -103,7 +105,7 @@
 }
 
 // listed returns the instances that the control group lists, and the control
-// addresses to ask, this instance's own among them.
+// addresses to query, including that of this instance.
 func (r *Reporter) listed() (listed map[ledger.ID]bool, addresses []string) {
 	listed = map[ledger.ID]bool{}
 	addresses = []string{r.opts.Address}
@@ -135,27 +137,27 @@
 	if err := decodeBody(body, &answer); err != nil {
 		return nil, err
 	}
-	return ledger.DecodeDump(r.opts.Clock.Now(), answer.Own, answer.Book)
+	return ledger.DecodeDump(r.opts.Clock.Now(), answer.Account, answer.Store)
 }
 
-// ownDump goes through the encoding too: a report changes the state that it
-// combines, which must not be the book itself.
+// ownDump encodes and decodes the dump like that of another instance, because a
+// report modifies the state that it combines, which must not be the store's own.
 func (r *Reporter) ownDump() (*ledger.Dump, error) {
 	answer, err := r.dump()
 	if err != nil {
 		return nil, err
 	}
-	return ledger.DecodeDump(r.opts.Clock.Now(), answer.Own, answer.Book)
+	return ledger.DecodeDump(r.opts.Clock.Now(), answer.Account, answer.Store)
 }
 
 func (r *Reporter) dump() (*dumpAnswer, error) {
 	answer := &dumpAnswer{}
 	var err error
 	if account := r.account.Load(); account != nil {
-		answer.Own, err = ledger.EncodeAccount(account.Take(r.opts.Clock.Now(), 0))
+		answer.Account, err = ledger.EncodeAccount(account.Snapshot(r.opts.Clock.Now(), 0))
 	}
-	if err == nil && r.opts.Book != nil {
-		answer.Book, err = r.opts.Book.Encoded()
+	if err == nil && r.opts.Store != nil {
+		answer.Store, err = r.opts.Store.Encoded()
 	}
 	return answer, err
 }
--- a/burn/chart.go
+++ b/burn/chart.go
@@ -18,11 +18,11 @@
 	chartWidth  = vg.Length(420) // points
 	chartHeight = vg.Length(150)
 	lineWidth   = vg.Length(1.5)
-	dash        = vg.Length(3)
+	dashLength  = vg.Length(3)
 )
 
-// chart draws the burn rate by the hour, with a line at 1, the rate that spends
-// the budget exactly within its period.
+// chart draws the hourly burn rate and a line at 1, the rate that spends the budget
+// exactly within its period.
 func (o *Objective) chart() (template.HTML, error) {
 	p := plot.New()
 	p.Y.Label.Text = "burn rate"
@@ -37,7 +37,7 @@
 	if _, err := canvas.WriteTo(&b); err != nil {
 		return "", errors.Wrap(err, "drawing a chart")
 	}
-	return inline(b.String()), nil
+	return stripXMLHeader(b.String()), nil
 }
 
 func (o *Objective) addLines(p *plot.Plot) error {
@@ -54,16 +54,17 @@
 	}
 	line.StepStyle = plotter.PostStep
 	line.Width = lineWidth
-	steady := plotter.NewFunction(func(float64) float64 { return 1 })
-	steady.Dashes = []vg.Length{dash, dash}
-	p.Add(line, steady)
+	sustainable := plotter.NewFunction(func(float64) float64 { return 1 })
+	sustainable.Dashes = []vg.Length{dashLength, dashLength}
+	p.Add(line, sustainable)
 	p.Y.Max = math.Max(p.Y.Max, 1)
 	return nil
 }
 
-// inline cuts off what stands before the svg element: a declaration of XML is
-// not allowed inside HTML. The drawing holds numbers and fixed words only.
-func inline(svg string) template.HTML {
+// stripXMLHeader removes everything before the svg element, since an XML declaration
+// is not allowed inside HTML. The conversion to template.HTML is safe because the
+// drawing contains only numbers and constant texts.
+func stripXMLHeader(svg string) template.HTML {
 	if i := strings.Index(svg, "<svg"); i > 0 {
 		svg = svg[i:]
 	}
--- a/cli/report_process_test.go
+++ b/cli/report_process_test.go
@@ -197,13 +197,13 @@
 // awaitCopied waits until the first voter has all that an instance has counted.
 func (f *reportFleet) awaitCopied(i int) {
 	f.t.Helper()
-	own := f.dump(i).Own
+	own := f.dump(i).Account
 	if len(own.Series) == 0 {
 		f.t.Fatal("the instance has counted nothing")
 	}
 	deadline := time.Now().Add(processTimeout)
 	for time.Now().Before(deadline) {
-		if known := f.dump(0).Book.Incarnations[own.ID]; known != nil && known.Sequence >= own.To {
+		if known := f.dump(0).Store.Incarnations[own.ID]; known != nil && known.Sequence >= own.To {
 			return
 		}
 	}
@@ -227,8 +227,8 @@
 		t.Errorf("received %d, tried %d; served %d, seen %d, executed %d",
 			got.Received, first.Tries, got.Served, first.All.Served, f.executed())
 	}
-	if len(report.Unknown)+len(report.MissingBooks) > 0 {
-		t.Errorf("unknown without a failure: %+v %v", report.Unknown, report.MissingBooks)
+	if len(report.Unknown)+len(report.MissingVoters) > 0 {
+		t.Errorf("unknown without a failure: %+v %v", report.Unknown, report.MissingVoters)
 	}
 
 	const victim = reportInstances - 1
--- a/instance/ledger.go
+++ b/instance/ledger.go
@@ -24,7 +24,7 @@
 // and, on a voter, the copies of the accounts of all instances.
 type ledgerParts struct {
 	options *Options
-	book    *ledger.Book // nil unless the instance is a voter
+	book    *ledger.Store // nil unless the instance is a voter
 	reports *accounting.Reporter
 	account *ledger.Account // of this incarnation
 	copier  *accounting.Copier
@@ -36,7 +36,7 @@
 		return p, nil
 	}
 	folder := filepath.Join(options.Process.DataFolder, ledgerFolder)
-	book, err := ledger.OpenBook(folder, wal.OS{}, options.Log, clock.Real{})
+	book, err := ledger.OpenStore(folder, wal.OS{}, options.Log, clock.Real{})
 	if err != nil {
 		return nil, errors.Wrap(err, "ledger")
 	}
@@ -46,7 +46,7 @@
 
 // store returns where copies of other instances' accounts are stored, nil unless the
 // instance is a voter.
-func (p *ledgerParts) store() ledger.Store {
+func (p *ledgerParts) store() ledger.CopyMerger {
 	if p.book == nil {
 		return nil
 	}
@@ -60,7 +60,7 @@
 		Log:        p.options.Log,
 		Operations: node,
 		View:       node.View,
-		Book:       p.book,
+		Store:      p.book,
 		Address:    p.options.Process.ControlAdvertise,
 		Voters:     p.options.Process.Voters,
 	})
@@ -73,7 +73,7 @@
 	id := ledger.ID{Instance: p.options.Process.Name, Incarnation: node.View().Incarnation}
 	p.account = ledger.NewAccount(id, time.Now(), p.options.Log)
 	p.account.Follow(func() *settings.Tree { return node.View().Tree })
-	p.reports.Count(p.account)
+	p.reports.SetAccount(p.account)
 	p.copier = accounting.NewCopier(accounting.CopierOptions{
 		Log:     p.options.Log,
 		Account: p.account,
--- a/instance/run.go
+++ b/instance/run.go
@@ -80,7 +80,7 @@
 	group.Go(func() error { return reportDemands(copyContext, node, server) })
 	group.Go(func() error { return parts.runCopier(copyContext) })
 	group.Go(func() error {
-		parts.reports.KeepBook(copyContext)
+		parts.reports.RunMerges(copyContext)
 		return nil
 	})
 	group.Go(func() error {
--- a/ledger/encode_dump.go
+++ b/ledger/encode_dump.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// EncodeAccount returns the whole account as it travels in a dump.
+// EncodeAccount encodes a copy of a whole account for use in a dump.
 func EncodeAccount(c *Copy) ([]byte, error) { return encode(c) }
 
-// DecodeDump reads what an instance sent just now for a report; either part may
-// be empty.
-func DecodeDump(now time.Time, own, book []byte) (*Dump, error) {
+// DecodeDump decodes a dump that was received from an instance at now. Either part
+// may be empty.
+func DecodeDump(now time.Time, account, store []byte) (*Dump, error) {
 	d := &Dump{}
 	var err error
-	if len(own) > 0 {
-		if d.Own, err = decodeCopy(own); err != nil {
+	if len(account) > 0 {
+		if d.Account, err = decodeCopy(account); err != nil {
 			return nil, err
 		}
-		d.Own.correctClock(now)
+		d.Account.correctClock(now)
 	}
-	if len(book) > 0 {
-		if d.Book, err = decodeState(book); err != nil {
+	if len(store) > 0 {
+		if d.Store, err = decodeState(store); err != nil {
 			return nil, err
 		}
 	}
--- a/ledger/store.go
+++ b/ledger/store.go
@@ -1,9 +1,130 @@
 package ledger
 
-// Store keeps the counters of all instances on a voter, under its data folder.
-// Control calls Merge for each CopyLedger that arrives, on a traffic goroutine.
-type Store interface {
-	// Merge takes an encoded copy from an instance and returns the encoded
-	// position up to which the copy is synced here.
-	Merge(encodedCopy []byte) (position []byte, err error)
+import (
+	"sync"
+
+	"github.com/cockroachdb/errors"
+	"github.com/sirupsen/logrus"
+
+	"celeryport/clock"
+	"celeryport/event"
+	"celeryport/wal"
+)
+
+// The log is replaced by the state once it has grown to rewriteFactor times the
+// size of the state and to at least rewriteMinBytes.
+const (
+	rewriteFactor   = 4
+	rewriteMinBytes = 4 << 20
+)
+
+// Store stores the accounts of all instances durably on a voter. It implements
+// Store and is safe for concurrent use.
+type Store struct {
+	log   logrus.FieldLogger
+	clock clock.Clock
+
+	mu        sync.Mutex
+	state     *State
+	records   *wal.Records
+	appended  int64 // bytes since the last rewrite
+	rewritten int64 // bytes of the state at the last rewrite
+}
+
+// OpenStore opens the store in its own folder under the data folder.
+func OpenStore(folder string, fs wal.FS, log logrus.FieldLogger, c clock.Clock) (*Store, error) {
+	records, content, err := wal.OpenRecords(folder, fs, wal.Options{Logger: log})
+	if err != nil {
+		return nil, errors.Wrap(err, "opening the ledger")
+	}
+	state, err := replay(content)
+	if err != nil {
+		return nil, errors.CombineErrors(errors.Wrap(err, "reading the ledger"), records.Close())
+	}
+	storeOpened.Log(log, event.Fields{"folder": folder, "incarnations": len(state.Incarnations)})
+	return &Store{log: log, clock: c, state: state, records: records}, nil
+}
+
+// Merge implements CopyMerger. The copy is synced to disk before it is applied, because
+// the instance does not send again what the returned position covers.
+func (b *Store) Merge(encodedCopy []byte) ([]byte, error) {
+	c, err := decodeCopy(encodedCopy)
+	if err != nil {
+		return nil, err
+	}
+	if encodedCopy, err = b.withCorrectedClock(c, encodedCopy); err != nil {
+		return nil, err
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if err := b.persist(c, encodedCopy); err != nil {
+		return nil, err
+	}
+	sequence := b.state.Apply(c)
+	if err := b.rewriteIfLarge(); err != nil {
+		return nil, err
+	}
+	return position{incarnation: c.ID.Incarnation, sequence: sequence}.encode(), nil
+}
+
+// withCorrectedClock returns the encoded copy to be stored, in which a time that
+// differs too much from the voter's clock is replaced.
+func (b *Store) withCorrectedClock(c *Copy, encodedCopy []byte) ([]byte, error) {
+	sentAt := c.At
+	if !c.correctClock(b.clock.Now()) {
+		return encodedCopy, nil
+	}
+	clockDiffers.Log(b.log, event.Fields{"instance": c.ID.Instance, "its_time": sentAt, "time": c.At})
+	return encode(c)
+}
+
+// persist syncs a copy to disk. A copy that changes nothing but the time is
+// skipped, since the voter requests it again after a restart. The first copy of an
+// incarnation is always stored: if the instance is killed before the next copy,
+// the report would otherwise not list it at all.
+func (b *Store) persist(c *Copy, encodedCopy []byte) error {
+	isNew := b.state.Incarnations[c.ID] == nil
+	if !b.state.Applies(c) || (len(c.Series) == 0 && !c.Final && !isNew) {
+		return nil
+	}
+	record := copyRecord(encodedCopy)
+	if err := b.records.Append(record); err != nil {
+		return errors.Wrap(err, "storing a copy of a ledger")
+	}
+	b.appended += int64(len(record))
+	return nil
+}
+
+// rewriteIfLarge replaces a large log by the state. It must be called after the
+// newest copy has been applied, because the replaced log holds that copy too.
+func (b *Store) rewriteIfLarge() error {
+	if b.appended < max(rewriteMinBytes, rewriteFactor*b.rewritten) {
+		return nil
+	}
+	b.state.Trim(b.clock.Now())
+	record, err := stateRecord(b.state)
+	if err != nil {
+		return err
+	}
+	if err := b.records.Rewrite([][]byte{record}); err != nil {
+		return errors.Wrap(err, "rewriting the ledger")
+	}
+	logRewritten.Log(b.log, event.Fields{"bytes_before": b.appended, "bytes_after": len(record)})
+	b.rewritten = int64(len(record))
+	b.appended = 0
+	return nil
+}
+
+// Encoded returns the encoded state, for a report that another instance builds.
+func (b *Store) Encoded() ([]byte, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return encode(b.state)
+}
+
+// Close closes the log.
+func (b *Store) Close() error {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.records.Close()
 }
--- a/metrics/metric.go
+++ b/metrics/metric.go
@@ -14,7 +14,7 @@
 	labelState        = "state"
 )
 
-// metric is one metric of this package.
+// metric defines one metric of this package.
 type metric struct {
 	name   string
 	help   string
@@ -23,8 +23,8 @@
 	desc   *prometheus.Desc
 }
 
-// all lists the metrics, for docs/METRICS.md.
-var all []*metric
+// registered lists all metrics, for docs/METRICS.md.
+var registered []*metric
 
 func define(kind prometheus.ValueType, subsystem, name, help string, labels ...string) *metric {
 	m := &metric{
@@ -34,7 +34,7 @@
 		labels: labels,
 	}
 	m.desc = prometheus.NewDesc(m.name, help, labels, nil)
-	all = append(all, m)
+	registered = append(registered, m)
 	return m
 }
 
@@ -46,20 +46,21 @@
 	return define(prometheus.GaugeValue, subsystem, name, help, labels...)
 }
 
-// histogram is defined without a value type of its own.
+// histogram defines a histogram. Its value type is UntypedValue because Prometheus has
+// no value type for histograms.
 func histogram(subsystem, name, help string, labels ...string) *metric {
 	return define(prometheus.UntypedValue, subsystem, name, help, labels...)
 }
 
-func (m *metric) send(to chan<- prometheus.Metric, value float64, labels ...string) {
-	to <- prometheus.MustNewConstMetric(m.desc, m.kind, value, labels...)
+func (m *metric) send(ch chan<- prometheus.Metric, value float64, labels ...string) {
+	ch <- prometheus.MustNewConstMetric(m.desc, m.kind, value, labels...)
 }
 
-func (m *metric) sendHistogram(to chan<- prometheus.Metric, h *buckets, labels ...string) {
-	to <- prometheus.MustNewConstHistogram(m.desc, h.count, h.sum, h.cumulative, labels...)
+func (m *metric) sendHistogram(ch chan<- prometheus.Metric, h *histogramBuckets, labels ...string) {
+	ch <- prometheus.MustNewConstHistogram(m.desc, h.count, h.sum, h.cumulative, labels...)
 }
 
-// kindName is the Prometheus type of the metric.
+// kindName returns the Prometheus type of the metric.
 func (m *metric) kindName() string {
 	switch m.kind {
 	case prometheus.CounterValue:
