--- a/upstream/occupancy_test.go
+++ b/upstream/address_index_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against an upstream that is not found at its address, and so stays in service when
-// another one starts there.
-func TestAddressesListWhatIsKnown(t *testing.T) {
+// Guards against a record that is missing from the address index: that upstream would stay in
+// service after another one started at its address.
+func TestAddressIndexMatchesRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, now := NewRegistry(testFreshFor), testStart
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -28,21 +28,21 @@
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			if rapid.IntRange(0, 9).Draw(t, "expire") == 0 {
-				now = now.Add(forgetFactor * testFreshFor / 2)
+				now = now.Add(retentionFactor * testFreshFor / 2)
 				r.Expire(now)
 			}
 		}
 		listed := 0
-		for address, records := range r.at {
+		for address, records := range r.byAddress {
 			for _, rec := range records {
 				if rec.announcement.Address != address || r.records[rec.announcement.Name] != rec {
-					t.Fatalf("%s lists %+v", address, rec.announcement)
+					t.Fatalf("address %s has a stale or misplaced record: %+v", address, rec.announcement)
 				}
 				listed++
 			}
 		}
 		if listed != len(r.records) {
-			t.Fatalf("%d of %d upstreams are listed", listed, len(r.records))
+			t.Fatalf("the address index has %d of %d upstreams", listed, len(r.records))
 		}
 	})
 }
--- a/upstream/cache_view.go
+++ b/upstream/cache_view.go
@@ -2,27 +2,28 @@
 
 import "maps"
 
-// maxPrefixes bounds what is remembered of one upstream's prefix cache, so that
-// neither a faulty upstream nor a large fleet can fill an instance's memory.
+// maxPrefixes limits the prefixes stored for each upstream, so that neither a
+// faulty upstream nor a large fleet can exhaust the memory of an instance.
 const maxPrefixes = 512
 
-// cacheView follows the cache events of one incarnation.
+// cacheView reconstructs the prefix cache of one incarnation from its cache events.
 type cacheView struct {
-	last     uint64 // highest sequence applied
-	prefixes *Prefixes
-	order    []uint64 // oldest first
+	lastSequence   uint64 // highest sequence applied
+	prefixes       *Prefixes
+	insertionOrder []uint64 // prefix hashes in order of insertion, oldest first
 }
 
-// apply takes events in any order of arrival and ignores those already seen. A
-// gap means that events were lost: what is known stays, since a wrong entry only
-// costs a preference, and the entry's own eviction by age ends it.
+// apply applies the events whose sequence is higher than that of every event
+// applied before, and ignores the others. A gap in the sequence means that events
+// were lost. The entries are kept in that case: a wrong entry only makes the
+// choice of an upstream less suitable, and is evicted once it is the oldest.
 func (c *cacheView) apply(events []CacheEvent) {
 	var tokens map[uint64]int
 	for _, e := range events {
-		if e.Sequence <= c.last {
+		if e.Sequence <= c.lastSequence {
 			continue
 		}
-		c.last = e.Sequence
+		c.lastSequence = e.Sequence
 		if tokens == nil {
 			tokens = c.copyTokens()
 		}
@@ -46,12 +47,12 @@
 		return
 	}
 	if _, known := tokens[e.PrefixHash]; !known {
-		c.order = append(c.order, e.PrefixHash)
+		c.insertionOrder = append(c.insertionOrder, e.PrefixHash)
 	}
 	tokens[e.PrefixHash] = e.Tokens
-	for len(c.order) > maxPrefixes {
-		delete(tokens, c.order[0])
-		c.order = c.order[1:]
+	for len(c.insertionOrder) > maxPrefixes {
+		delete(tokens, c.insertionOrder[0])
+		c.insertionOrder = c.insertionOrder[1:]
 	}
 }
 
--- a/upstream/registry.go
+++ b/upstream/registry.go
@@ -6,54 +6,57 @@
 	"time"
 )
 
-// Relayed is an announcement that another instance heard. Age is how long ago
-// it was heard when the relaying message was received, the time on the way
-// included, so that relaying never makes an upstream look fresher than it is.
+// Relayed is an announcement forwarded by another instance. Age is the time
+// between the receipt of the announcement by that instance and the receipt of the
+// relaying message, transit time included, so that relaying never makes an
+// upstream appear fresher than it is.
 type Relayed struct {
 	Announcement Announcement  `json:"announcement"`
 	Age          time.Duration `json:"age"`
 }
 
-// Registry is an instance's knowledge of the upstreams. It is pure and not safe
-// for concurrent use.
+// Registry holds the upstreams known to an instance. It performs no I/O and is
+// not safe for concurrent use.
 //
-// Invariants, whatever order announcements arrive in: of one name the highest
-// incarnation is kept, and of one incarnation the highest sequence; an
-// incarnation that announced that it leaves never gets new work again.
+// Invariants, independent of the order in which announcements arrive: for each
+// name the highest incarnation is kept, and for each incarnation the highest
+// sequence; an incarnation that announced that it is leaving never receives new
+// work again.
 type Registry struct {
-	freshFor time.Duration
-	forget   time.Duration
-	version  uint64
-	records  map[string]*record
-	at       occupancy
+	freshFor  time.Duration
+	retention time.Duration
+	version   uint64
+	records   map[string]*record
+	byAddress addressIndex
 }
 
-// record is what is known of one upstream.
+// record is the registry entry of one upstream.
 type record struct {
 	announcement Announcement
-	heardAt      time.Time
-	version      uint64 // of the registry when it changed last
+	receivedAt   time.Time
+	version      uint64 // version of the registry at the last change of the record
 	cache        cacheView
 }
 
-// forgetFactor times the freshness limit is how long a silent upstream is still
-// listed, so that operators see it and a late announcement finds its sequence.
-const forgetFactor = 200
+// retentionFactor times the freshness limit is the time for which a silent upstream
+// stays in the registry, so that operators can see it and a late announcement is
+// compared with its last sequence.
+const retentionFactor = 200
 
-// NewRegistry returns an empty registry; an upstream that was not heard for
-// longer than freshFor is silent.
+// NewRegistry returns an empty registry. An upstream counts as silent when its
+// last announcement is older than freshFor.
 func NewRegistry(freshFor time.Duration) *Registry {
-	return &Registry{freshFor: freshFor, forget: forgetFactor * freshFor, records: map[string]*record{}, at: occupancy{}}
+	return &Registry{freshFor: freshFor, retention: retentionFactor * freshFor, records: map[string]*record{}, byAddress: addressIndex{}}
 }
 
 // SetFreshFor changes the freshness limit.
 func (r *Registry) SetFreshFor(freshFor time.Duration) {
 	r.freshFor = freshFor
-	r.forget = forgetFactor * freshFor
+	r.retention = retentionFactor * freshFor
 }
 
-// Hear takes an announcement that the upstream made to this instance and
-// reports whether it was news.
+// Hear applies an announcement that the upstream sent to this instance and
+// reports whether it changed the registry.
 func (r *Registry) Hear(now time.Time, a Announcement) bool {
 	if known := r.records[a.Name]; known == nil || a.Incarnation > known.announcement.Incarnation {
 		r.supersede(now, a)
@@ -61,19 +64,20 @@
 	return r.HearRelayed(now, Relayed{Announcement: a})
 }
 
-// successorGap is how long an upstream must have been silent before another name
-// at its address counts as its successor: above the usual interval of
-// announcements, so that a message that a dead upstream sent long ago, and that
-// arrives only now, never pushes out the one that lives there.
-const successorGap = 1500 * time.Millisecond
+// supersedeAfter is the minimum time without announcements after which an upstream
+// counts as replaced by another name at its address. It is longer than the usual
+// announcement interval, so that a delayed message of a terminated upstream never
+// displaces the one that now runs at the address.
+const supersedeAfter = 1500 * time.Millisecond
 
-// supersede takes silent upstreams at the address of a new one out of service.
-// Their own late announcements can't bring them back. Only the instance that
-// hears the new one itself decides this, since relayed news comes in any order.
+// supersede marks the silent upstreams at the address of a new one as leaving.
+// Their own late announcements can't revert this. Only the instance that receives
+// the announcement from the new upstream itself decides this, because relayed
+// announcements arrive in any order.
 func (r *Registry) supersede(now time.Time, a Announcement) {
-	for _, rec := range r.at[a.Address] {
+	for _, rec := range r.byAddress[a.Address] {
 		old := &rec.announcement
-		if old.Name == a.Name || old.Leaving || now.Sub(rec.heardAt) < successorGap {
+		if old.Name == a.Name || old.Leaving || now.Sub(rec.receivedAt) < supersedeAfter {
 			continue
 		}
 		old.Leaving = true
@@ -81,56 +85,57 @@
 	}
 }
 
-// HearRelayed takes an announcement that another instance heard and reports
-// whether it was news.
+// HearRelayed applies an announcement that another instance received and reports
+// whether it changed the registry.
 func (r *Registry) HearRelayed(now time.Time, relayed Relayed) bool {
 	a := relayed.Announcement
-	heardAt := now.Add(-max(0, relayed.Age))
+	receivedAt := now.Add(-max(0, relayed.Age))
 	known := r.records[a.Name]
 	if known == nil || a.Incarnation > known.announcement.Incarnation {
-		r.at.remove(known)
-		r.records[a.Name] = r.newRecord(a, heardAt)
-		r.at.add(r.records[a.Name])
+		r.byAddress.remove(known)
+		r.records[a.Name] = r.newRecord(a, receivedAt)
+		r.byAddress.add(r.records[a.Name])
 		return true
 	}
 	if a.Incarnation < known.announcement.Incarnation {
 		return false
 	}
-	return r.renew(known, a, heardAt)
+	return r.update(known, a, receivedAt)
 }
 
-func (r *Registry) newRecord(a Announcement, heardAt time.Time) *record {
-	rec := &record{heardAt: heardAt, version: r.nextVersion()}
+func (r *Registry) newRecord(a Announcement, receivedAt time.Time) *record {
+	rec := &record{receivedAt: receivedAt, version: r.nextVersion()}
 	rec.cache.apply(a.CacheEvents)
 	rec.announcement = withoutEvents(a)
 	return rec
 }
 
-// renew takes a further announcement of a known incarnation. The same sequence
-// heard by two ways may still prove that the upstream lived later than known.
-func (r *Registry) renew(rec *record, a Announcement, heardAt time.Time) bool {
+// update applies a further announcement of a known incarnation. A copy of the
+// current sequence that arrives by another path may still show that the upstream
+// was alive at a later time than recorded.
+func (r *Registry) update(rec *record, a Announcement, receivedAt time.Time) bool {
 	if a.Sequence <= rec.announcement.Sequence {
 		if a.Sequence == rec.announcement.Sequence {
-			rec.heardAt = later(rec.heardAt, heardAt)
+			rec.receivedAt = later(rec.receivedAt, receivedAt)
 		}
-		return r.keepLeaving(rec, a)
+		return r.markLeaving(rec, a)
 	}
-	// A sequence can only grow, so a leaving upstream stays leaving even if a
-	// faulty one takes it back: callers were told that nothing new comes.
+	// Leaving is final, even if a faulty upstream revokes it under a higher
+	// sequence: other components rely on a leaving upstream getting no new work.
 	a.Leaving = a.Leaving || rec.announcement.Leaving
 	rec.cache.apply(a.CacheEvents)
-	r.at.remove(rec)
+	r.byAddress.remove(rec)
 	rec.announcement = withoutEvents(a)
-	r.at.add(rec)
-	rec.heardAt = later(rec.heardAt, heardAt)
+	r.byAddress.add(rec)
+	rec.receivedAt = later(rec.receivedAt, receivedAt)
 	rec.version = r.nextVersion()
 	return true
 }
 
-// keepLeaving notes that an upstream leaves, whatever the sequence of its word: an instance
-// that takes it out of service on that word numbers it by what it has heard itself, and
-// another one may have heard more.
-func (r *Registry) keepLeaving(rec *record, a Announcement) bool {
+// markLeaving records that an upstream is leaving, whatever the sequence of the announcement. An
+// instance that takes an upstream out of service on its request derives the sequence from the
+// announcements it has received itself, and another instance may have received later ones.
+func (r *Registry) markLeaving(rec *record, a Announcement) bool {
 	if !a.Leaving || rec.announcement.Leaving {
 		return false
 	}
@@ -144,7 +149,7 @@
 	return r.version
 }
 
-// Find returns the newest announcement of an upstream.
+// Find returns the latest announcement of an upstream.
 func (r *Registry) Find(name string) (Announcement, bool) {
 	rec, found := r.records[name]
 	if !found {
@@ -153,27 +158,27 @@
 	return rec.announcement, true
 }
 
-// Size returns how many upstreams are known, those that are silent or leaving included.
+// Size returns the number of known upstreams, including silent and leaving ones.
 func (r *Registry) Size() int { return len(r.records) }
 
-// Expire forgets upstreams that were silent for very long.
+// Expire removes the upstreams whose last announcement is older than the retention time.
 func (r *Registry) Expire(now time.Time) {
 	for name, rec := range r.records {
-		if now.Sub(rec.heardAt) > r.forget {
+		if now.Sub(rec.receivedAt) > r.retention {
 			delete(r.records, name)
-			r.at.remove(rec)
+			r.byAddress.remove(rec)
 			r.nextVersion()
 		}
 	}
 }
 
-// Version grows with every change of content.
+// Version returns a number that increases with every change of the content.
 func (r *Registry) Version() uint64 { return r.version }
 
-// ChangesSince returns the announcements that changed after the version, to be
-// relayed, and the version to ask from next time. Cache events are left out:
-// they only steer preference, and each instance hears those of its own
-// upstreams.
+// ChangesSince returns the announcements that changed after the given version, for
+// relaying, and the version to pass to the next call. Cache events are omitted:
+// they only influence preferences, and each instance receives those of the
+// upstreams that announce to it.
 func (r *Registry) ChangesSince(now time.Time, version uint64) ([]Relayed, uint64) {
 	var changed []*record
 	for _, rec := range r.records {
@@ -184,7 +189,7 @@
 	sortByName(changed)
 	changes := make([]Relayed, len(changed))
 	for i, rec := range changed {
-		changes[i] = Relayed{Announcement: rec.announcement, Age: now.Sub(rec.heardAt)}
+		changes[i] = Relayed{Announcement: rec.announcement, Age: now.Sub(rec.receivedAt)}
 	}
 	return changes, r.version
 }
@@ -193,7 +198,7 @@
 	slices.SortFunc(records, func(a, b *record) int { return strings.Compare(a.announcement.Name, b.announcement.Name) })
 }
 
-// Snapshot returns the present view, ordered by name.
+// Snapshot returns the current state of all upstreams, ordered by name.
 func (r *Registry) Snapshot(now time.Time) *Snapshot {
 	ordered := make([]*record, 0, len(r.records))
 	for _, rec := range r.records {
@@ -210,9 +215,9 @@
 func (rec *record) view(now time.Time, freshFor time.Duration) Upstream {
 	u := Upstream{
 		Announcement: rec.announcement,
-		HeardAt:      rec.heardAt,
-		FreshUntil:   rec.heardAt.Add(freshFor),
-		LoadAt:       rec.heardAt.Add(-rec.announcement.Load.Age),
+		HeardAt:      rec.receivedAt,
+		FreshUntil:   rec.receivedAt.Add(freshFor),
+		LoadAt:       rec.receivedAt.Add(-rec.announcement.Load.Age),
 		Prefixes:     rec.cache.view(),
 	}
 	u.State = u.StateAt(now)
--- a/upstream/registry_bench_test.go
+++ b/upstream/registry_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkSnapshot measures a view of a fleet of the target size.
+// BenchmarkSnapshot measures a snapshot of a fleet of the target size, 600 upstreams.
 func BenchmarkSnapshot(b *testing.B) {
 	r := NewRegistry(testFreshFor)
 	for i := range 600 {
@@ -16,9 +16,8 @@
 	}
 }
 
-// BenchmarkFirstHearing measures what it takes to hear of a fleet of 3,000 upstreams for the first
-// time.
-func BenchmarkFirstHearing(b *testing.B) {
+// BenchmarkFirstAnnouncements measures the first announcements of a fleet of 3,000 upstreams.
+func BenchmarkFirstAnnouncements(b *testing.B) {
 	const upstreams = 3000
 	announcements := make([]Announcement, upstreams)
 	for i := range announcements {
--- a/upstream/registry_test.go
+++ b/upstream/registry_test.go
@@ -23,9 +23,9 @@
 }
 
 func TestRegistryFollowsAnUpstream(t *testing.T) {
-	// An upstream's messages cross on the network, it restarts at the same
-	// address, or it falls silent. If the registry took an old message for a new
-	// one, callers' requests would go to an upstream that has left or died.
+	// An upstream's messages arrive out of order, it restarts at the same address,
+	// or it stops announcing. If the registry treated an old message as a new one,
+	// requests would be sent to an upstream that has left or crashed.
 	type step struct {
 		after    time.Duration
 		announce Announcement
@@ -33,31 +33,31 @@
 		want     State
 		sequence uint64
 	}
-	at := func(incarnation, sequence uint64, leaving bool) Announcement {
+	announced := func(incarnation, sequence uint64, leaving bool) Announcement {
 		return Announcement{Name: "e1", Incarnation: incarnation, Sequence: sequence, Leaving: leaving}
 	}
 	tests := map[string][]step{
-		"an older sequence does not take leaving back": {
-			{0, at(1, 1, false), 0, Fresh, 1},
-			{time.Second, at(1, 3, true), 0, Leaving, 3},
-			{0, at(1, 2, false), 0, Leaving, 3},
+		"an older sequence does not revoke leaving": {
+			{0, announced(1, 1, false), 0, Fresh, 1},
+			{time.Second, announced(1, 3, true), 0, Leaving, 3},
+			{0, announced(1, 2, false), 0, Leaving, 3},
 		},
-		"a newer sequence does not take leaving back": {
-			{0, at(1, 1, true), 0, Leaving, 1},
-			{0, at(1, 2, false), 0, Leaving, 2},
+		"a newer sequence does not revoke leaving": {
+			{0, announced(1, 1, true), 0, Leaving, 1},
+			{0, announced(1, 2, false), 0, Leaving, 2},
 		},
-		"a restart at the same address is a new upstream": {
-			{0, at(1, 9, true), 0, Leaving, 9},
-			{0, at(2, 1, false), 0, Fresh, 1},
-			{0, at(1, 10, true), 0, Fresh, 1},
+		"a restart under the same name replaces the earlier incarnation": {
+			{0, announced(1, 9, true), 0, Leaving, 9},
+			{0, announced(2, 1, false), 0, Fresh, 1},
+			{0, announced(1, 10, true), 0, Fresh, 1},
 		},
-		"a relayed announcement is as old as it is": {
-			{0, at(1, 1, false), testFreshFor + time.Second, Silent, 1},
-			{0, at(1, 2, false), time.Second, Fresh, 2},
+		"a relayed announcement keeps its age": {
+			{0, announced(1, 1, false), testFreshFor + time.Second, Silent, 1},
+			{0, announced(1, 2, false), time.Second, Fresh, 2},
 		},
-		"an old copy does not renew freshness": {
-			{0, at(1, 2, false), 0, Fresh, 2},
-			{testFreshFor + time.Second, at(1, 1, false), 0, Silent, 2},
+		"an old copy does not extend freshness": {
+			{0, announced(1, 2, false), 0, Fresh, 2},
+			{testFreshFor + time.Second, announced(1, 1, false), 0, Silent, 2},
 		},
 	}
 	for name, steps := range tests {
@@ -78,10 +78,10 @@
 	}
 }
 
-func TestSnapshotGrowsStaleByItself(t *testing.T) {
+func TestSnapshotBecomesStaleWithoutUpdates(t *testing.T) {
 	// The control goroutine of an instance hangs, so that no newer snapshot is
-	// published. Without a limit inside the snapshot, requests would go on to an
-	// upstream that left long ago and fail there.
+	// published. Without a time limit in the snapshot itself, requests would still
+	// be sent to an upstream that terminated long ago, and fail.
 	r := NewRegistry(testFreshFor)
 	r.Hear(testStart, Announcement{Name: "e1", Incarnation: 1, Sequence: 1})
 	u := r.Snapshot(testStart).Upstreams[0]
@@ -94,9 +94,9 @@
 }
 
 func TestRegistriesAgreeWhateverTheOrder(t *testing.T) {
-	// Announcements reach two instances by different ways, doubled and in
-	// different orders. If the order mattered, one instance would go on to use
-	// an upstream that the other knows to have left.
+	// Announcements reach two instances by different paths, duplicated and in
+	// different orders. If the order mattered, one instance would keep using an
+	// upstream that the other one knows to have left.
 	rapid.Check(t, func(t *rapid.T) {
 		sent := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Announcement {
 			return Announcement{
@@ -125,8 +125,9 @@
 }
 
 func TestCacheViewIsBounded(t *testing.T) {
-	// A faulty engine publishes new prefixes for ever. Without a bound each
-	// instance would grow until it is killed, with every request it holds.
+	// A faulty engine reports new prefixes without end. Without a limit the memory
+	// of each instance would grow until the process is killed together with all its
+	// requests in flight.
 	r := NewRegistry(testFreshFor)
 	for i := uint64(1); i <= 3*maxPrefixes; i++ {
 		r.Hear(testStart, Announcement{
@@ -143,7 +144,7 @@
 	}
 }
 
-func TestChangesSinceReturnsOnlyNews(t *testing.T) {
+func TestChangesSinceReturnsOnlyLaterChanges(t *testing.T) {
 	r := NewRegistry(testFreshFor)
 	r.Hear(testStart, Announcement{Name: "e1", Incarnation: 1, Sequence: 1})
 	_, seen := r.ChangesSince(testStart, 0)
@@ -154,18 +155,18 @@
 	}
 }
 
-// Guards against work for an upstream that leaves, when its word has the number of an
-// announcement that another instance heard first.
+// Guards against new work for a leaving upstream when its leave announcement has a sequence that
+// is not higher than that of an announcement received earlier from another instance.
 func TestLeavingHoldsWhateverItsSequence(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
 	for name, known := range map[string]uint64{"earlier": 10, "same": 11, "later": 12} {
 		r := NewRegistry(time.Minute)
 		r.Hear(start, Announcement{Name: "e1", Incarnation: 1, Sequence: known})
 		_, version := r.ChangesSince(start, 0)
-		news := r.HearRelayed(start, Relayed{Announcement: Announcement{Name: "e1", Incarnation: 1, Sequence: 11, Leaving: true}})
+		changed := r.HearRelayed(start, Relayed{Announcement: Announcement{Name: "e1", Incarnation: 1, Sequence: 11, Leaving: true}})
 		found, _ := r.Find("e1")
-		if changes, _ := r.ChangesSince(start, version); !news || !found.Leaving || len(changes) != 1 {
-			t.Errorf("%s announcement known: news %t, leaving %t, %d changes for others", name, news, found.Leaving, len(changes))
+		if changes, _ := r.ChangesSince(start, version); !changed || !found.Leaving || len(changes) != 1 {
+			t.Errorf("%s announcement known: changed %t, leaving %t, %d changes for others", name, changed, found.Leaving, len(changes))
 		}
 		if found.Sequence != max(known, 11) {
 			t.Errorf("%s announcement known: sequence %d", name, found.Sequence)
--- a/upstream/snapshot.go
+++ b/upstream/snapshot.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// State is the freshness of an upstream as one instance sees it.
+// State is the state of an upstream from the point of view of one instance.
 type State uint8
 
 const (
-	// Fresh upstreams may get new work.
+	// Fresh upstreams may receive new work.
 	Fresh State = iota
-	// Silent upstreams were not heard for longer than the freshness limit. They
-	// get no new work; work in flight goes on.
+	// Silent upstreams have sent no announcement within the freshness limit. They
+	// receive no new work; work in flight continues.
 	Silent
-	// Leaving upstreams announced that they leave. They get no new work.
+	// Leaving upstreams are shutting down or were superseded. They receive no new work.
 	Leaving
 )
 
-// Upstream is the view that one instance has of one upstream.
+// Upstream is the state of one upstream as known to one instance.
 type Upstream struct {
 	Announcement Announcement
 	State        State
-	HeardAt      time.Time // when its newest announcement reached an instance, corrected for relaying
-	FreshUntil   time.Time // it gets no new work after this, even if the snapshot grows old
-	LoadAt       time.Time // when its load was measured
-	Prefixes     *Prefixes // known content of its prefix cache, never nil, read-only
+	HeardAt      time.Time // when an instance received the latest announcement; the relaying delay is subtracted
+	FreshUntil   time.Time // end of the freshness limit; no new work after it, however old the snapshot is
+	LoadAt       time.Time // when the reported load was measured
+	Prefixes     *Prefixes // known content of the prefix cache; never nil, read-only
 }
 
-// StateAt returns the state at a later time than that of the snapshot: an
-// instance whose control goroutine hangs must not go on to send work to an
-// upstream that it no longer hears.
+// StateAt returns the state at a time after the snapshot was taken. It makes sure
+// that an instance whose control goroutine hangs, and so publishes no new
+// snapshots, stops sending work to an upstream that no longer announces itself.
 func (u *Upstream) StateAt(now time.Time) State {
 	switch {
 	case u.Announcement.Leaving:
@@ -39,7 +39,7 @@
 	}
 }
 
-// String returns the wire form.
+// String returns the name of the state: fresh, silent or leaving.
 func (s State) String() string {
 	switch s {
 	case Fresh:
@@ -51,8 +51,8 @@
 	}
 }
 
-// Snapshot is an immutable view of all known upstreams, ordered by name, so
-// that every instance with equal knowledge computes equal choices.
+// Snapshot is an immutable view of all known upstreams. They are ordered by name,
+// so that instances with the same information make the same choices.
 type Snapshot struct {
 	Revision  uint64
 	TakenAt   time.Time
@@ -60,8 +60,8 @@
 	targets   map[string][]int
 }
 
-// NewSnapshot builds a snapshot; upstreams must be ordered by name and is not
-// copied.
+// NewSnapshot returns a snapshot of upstreams, which must be ordered by name. The
+// slice is not copied.
 func NewSnapshot(revision uint64, takenAt time.Time, upstreams []Upstream) *Snapshot {
 	s := &Snapshot{Revision: revision, TakenAt: takenAt, Upstreams: upstreams, targets: map[string][]int{}}
 	for i := range upstreams {
@@ -72,6 +72,6 @@
 	return s
 }
 
-// Serving returns the positions in Upstreams of those that serve the target,
-// whatever their state. The caller must not change the slice.
+// Serving returns the indices in Upstreams of the upstreams that serve the
+// target, in any state. The caller must not modify the returned slice.
 func (s *Snapshot) Serving(target string) []int { return s.targets[target] }
