--- a/upstream/client/bench_test.go
+++ b/upstream/client/bench_test.go
@@ -7,9 +7,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-// BenchmarkServiceCall compares a connection for each call, as the client makes
-// it, with calls on pooled connections, on loopback. The difference is the price
-// of never sending on a connection that may have died.
+// BenchmarkServiceCall compares calls on a new connection each, as the client
+// makes them, with calls on pooled connections, over loopback. The difference is
+// the cost of never sending on a connection that may already be dead.
 func BenchmarkServiceCall(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/upstream/client/client.go
+++ b/upstream/client/client.go
@@ -1,7 +1,7 @@
-// Package client speaks the wire protocol to upstreams. It never repeats a
-// request by itself: each call uses a connection that it dialled for itself, so
-// that a connection which has silently died in a pool cannot swallow a call, and
-// every error says whether the call may have run.
+// Package client calls upstreams over the wire protocol. It never retries a
+// request by itself. Each call dials its own connection, so that no call is lost
+// on a pooled connection that has failed unnoticed, and every error states whether
+// the upstream may have executed the call.
 package client
 
 import (
@@ -13,29 +13,29 @@
 // Dialer opens a connection to an upstream.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Timing holds the limits of waiting on an upstream.
+// Timing holds the time-outs of calls to upstreams.
 type Timing struct {
-	Connect time.Duration // to open a connection
-	Silence time.Duration // an answer stream without a frame, heartbeats included, is dead after this
-	Control time.Duration // of one cancel, reserve, holdings, state or order call
+	Connect time.Duration // time to open a connection
+	Silence time.Duration // maximum time between frames of an answer stream, heartbeats included
+	Control time.Duration // time for one cancel, reserve or holdings call
 }
 
-// DefaultTiming suits instances and upstreams of one region.
+// DefaultTiming suits instances and upstreams in the same region.
 var DefaultTiming = Timing{
 	Connect: time.Second,
 	Silence: 3 * time.Second,
 	Control: 2 * time.Second,
 }
 
-// Client calls upstreams on behalf of one incarnation of an entry instance.
+// Client calls upstreams on behalf of one incarnation of an instance.
 type Client struct {
 	dial   Dialer
-	key    string        // bearer key for upstreams that check who calls
+	key    string        // bearer key for upstreams that authenticate callers; none if empty
 	owner  func() string // instance/incarnation
 	timing Timing
 }
 
-// New returns a client. A nil dialer means TCP.
+// New returns a client. A nil dialer selects DialTCP.
 func New(dial Dialer, key string, owner func() string, timing Timing) *Client {
 	if dial == nil {
 		dial = DialTCP
@@ -43,5 +43,5 @@
 	return &Client{dial: dial, key: key, owner: owner, timing: timing}
 }
 
-// Owner names the instance and incarnation in whose name the client calls.
+// Owner returns the instance and incarnation on whose behalf the client calls.
 func (c *Client) Owner() string { return c.owner() }
--- a/upstream/client/control.go
+++ b/upstream/client/control.go
@@ -12,35 +12,36 @@
 	"celeryport/upstream/wire"
 )
 
-// maxControlAnswer bounds the answer to a control call in bytes.
+// maxControlAnswer limits the size of the answer to a control call in bytes.
 const maxControlAnswer = 8 << 20
 
-// ErrTooLarge says that an upstream's answer is longer than allowed.
+// ErrTooLarge means that an upstream's answer exceeds the allowed size.
 var ErrTooLarge = errors.New("answer is too large")
 
-// Cancel ends a request on an engine. It is idempotent; the caller repeats it
-// until it succeeds or the engine's incarnation is gone.
+// Cancel aborts a request on an engine. It is idempotent; the caller repeats it
+// until it succeeds or the engine's incarnation has ended.
 func (c *Client) Cancel(ctx context.Context, address string, request wire.CancelRequest) (wire.CancelResponse, error) {
 	var response wire.CancelResponse
 	err := c.callJSON(ctx, http.MethodPost, address, wire.PathCancel, &request, &response)
 	return response, err
 }
 
-// Reserve reserves, renews or frees the memory of one part of a span.
+// Reserve creates, renews or releases the memory reservation of one part of a span.
 func (c *Client) Reserve(ctx context.Context, address string, request *wire.ReserveRequest) (wire.ReserveResponse, error) {
 	var response wire.ReserveResponse
 	err := c.callJSON(ctx, http.MethodPost, address, wire.PathReserve, request, &response)
 	return response, err
 }
 
-// Holdings lists what holds memory on an engine.
+// Holdings returns the requests, reservations and exports that hold memory on an engine.
 func (c *Client) Holdings(ctx context.Context, address string) (wire.Holdings, error) {
 	var holdings wire.Holdings
 	err := c.callJSON(ctx, http.MethodGet, address, wire.PathHoldings, nil, &holdings)
 	return holdings, err
 }
 
-// callJSON makes one bounded call whose effect is idempotent.
+// callJSON makes one call with a JSON body and answer, limited in time and size. Only idempotent
+// operations may use it, because its errors do not state whether the call was executed.
 func (c *Client) callJSON(ctx context.Context, method, address, path string, body, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timing.Control)
 	defer cancel()
@@ -69,7 +70,7 @@
 	return errors.Wrapf(json.Unmarshal(content, answer), "decode the answer of upstream %s", address)
 }
 
-// readBounded reads all of r, up to limit bytes.
+// readBounded reads r to its end and fails with ErrTooLarge beyond limit bytes.
 func readBounded(r io.Reader, limit int) ([]byte, error) {
 	if r == nil {
 		return nil, nil
--- a/upstream/client/dial.go
+++ b/upstream/client/dial.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// userTimeout is how long sent bytes may stay unacknowledged before the kernel
-// gives the connection up. Without it a connection whose other end lost track of
-// it would keep a write waiting for many minutes.
+// userTimeout is the time for which sent data may stay unacknowledged before the
+// kernel closes the connection. Without it a write could block for many minutes on
+// a connection that the peer or the network has dropped without notice.
 const userTimeout = 5 * time.Second
 
 // DialTCP opens a TCP connection with TCP_USER_TIMEOUT set.
--- a/upstream/client/exchange.go
+++ b/upstream/client/exchange.go
@@ -11,26 +11,26 @@
 	"celeryport/verdict"
 )
 
-// exchange is one HTTP request and its answer on a connection of its own.
+// exchange is one HTTP request and its answer on a dedicated connection.
 type exchange struct {
-	conn     net.Conn
-	response fasthttp.Response
-	unwatch  func() bool
+	conn         net.Conn
+	response     fasthttp.Response
+	stopWatching func() bool
 }
 
-// maxHeader bounds the header of an upstream's answer, in bytes.
+// maxHeader limits the header of an upstream's answer in bytes.
 const maxHeader = 16 << 10
 
-// open dials, sends the request and reads the header of the answer. silence
-// bounds each wait for bytes. The connection closes when ctx ends, whatever it
-// waits for.
+// open dials the address, sends the request and reads the header of the answer.
+// Each read and write fails after silence without progress. The end of ctx closes
+// the connection and thereby interrupts any blocked read or write.
 func (c *Client) open(ctx context.Context, address string, request *fasthttp.Request, silence time.Duration) (*exchange, *verdict.Error) {
 	conn, err := c.connect(ctx, address)
 	if err != nil {
 		return nil, verdict.Wrap(err, verdict.NotRun, verdict.ReasonUpstream, "cannot connect to upstream %s", address)
 	}
 	e := &exchange{conn: &silenceConn{Conn: conn, limit: silence}}
-	e.unwatch = context.AfterFunc(ctx, func() { _ = conn.Close() })
+	e.stopWatching = context.AfterFunc(ctx, func() { _ = conn.Close() })
 	if ctx.Err() != nil {
 		e.close()
 		return nil, verdict.Wrap(ctx.Err(), verdict.NotRun, verdict.ReasonTimeout, "no time left to send")
@@ -65,8 +65,8 @@
 	return e.response.Read(bufio.NewReaderSize(e.conn, maxHeader))
 }
 
-// close ends the exchange; the upstream notices by the closed connection.
+// close closes the connection, by which the upstream detects the end of the exchange.
 func (e *exchange) close() {
-	e.unwatch()
+	e.stopWatching()
 	_ = e.conn.Close()
 }
--- a/upstream/client/generate.go
+++ b/upstream/client/generate.go
@@ -10,17 +10,17 @@
 	"celeryport/upstream/wire"
 )
 
-// GenerateCall is one send of a prompt to an engine.
+// GenerateCall is one attempt to run a prompt on an engine, or to resume its answer stream.
 type GenerateCall struct {
 	Address     string
-	Incarnation uint64 // the engine process that is meant; another one at the address refuses
+	Incarnation uint64 // expected incarnation of the engine; a different one at the address refuses the call
 	Request     string
 	Attempt     uint32
 	Priority    int
-	Resume      bool // pick up the stream of this attempt; an engine that does not have it refuses
-	Offset      int  // answer tokens already received, for a resume
+	Resume      bool // resume the stream of this attempt; an engine without that stream refuses the call
+	Offset      int  // number of answer tokens already received, if Resume is set
 	Remaining   time.Duration
-	Silence     time.Duration // the stream is dead after so long without a frame; 0: that of the client's timing
+	Silence     time.Duration // maximum time between frames; 0 selects the limit of the client
 	Key         string
 	Body        wire.GenerateRequest
 }
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// prepare fills what every call has in common.
+// prepare sets the fields that all calls have in common.
 func (c *Client) prepare(request *fasthttp.Request, method, address, path string) {
 	request.Header.SetMethod(method)
 	request.SetRequestURI("http://" + address + path)
--- a/upstream/client/generate_test.go
+++ b/upstream/client/generate_test.go
@@ -16,7 +16,7 @@
 	"celeryport/verdict"
 )
 
-// collect reads a stream to its end.
+// collect reads a stream to its end and returns its text.
 func collect(s *Stream) (string, error) {
 	var text strings.Builder
 	for {
@@ -42,20 +42,21 @@
 }
 
 func TestGenerateAgainstFaultyEngines(t *testing.T) {
-	// Engines crash, hang, restart and mix up answers in the middle of a call. If
-	// one of these passed for a whole answer, a caller would act on half a text or
-	// on somebody else's; if one passed for "not run", the call would run twice.
-	warm(t)
+	// Engines crash, hang, restart or send frames of another answer during a call.
+	// If the client accepted such an answer as complete, the caller would get a
+	// truncated text or that of another request; if it reported "not run", the call
+	// could be executed twice.
+	initFasthttp(t)
 	good := frames("r1", 1, "one ", "two ", "three")
 	tests := map[string]struct {
-		script  func(conn net.Conn)
-		text    string // what was accepted before the fault
-		whole   bool
-		verdict verdict.Verdict
+		script   func(conn net.Conn)
+		text     string // the text accepted before the fault
+		complete bool
+		verdict  verdict.Verdict
 	}{
-		"whole answer": {
+		"complete answer": {
 			script: func(conn net.Conn) { write(conn, streamHeader); writeFrames(conn, good...) },
-			text:   "one two three", whole: true,
+			text:   "one two three", complete: true,
 		},
 		"heartbeats between the tokens": {
 			script: func(conn net.Conn) {
@@ -69,31 +70,31 @@
 					writeFrames(conn, f)
 				}
 			},
-			text: "one two three", whole: true,
+			text: "one two three", complete: true,
 		},
-		"reads the call and closes": {script: func(net.Conn) {}, verdict: verdict.MayHaveRun},
-		"accepts and never answers": {script: hang, verdict: verdict.MayHaveRun},
-		"closes inside the header":  {script: func(c net.Conn) { write(c, "HTTP/1.1 200") }, verdict: verdict.MayHaveRun},
-		"fails without a mark":      {script: func(c net.Conn) { write(c, "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n") }, verdict: verdict.MayHaveRun},
-		"refuses with the mark": {script: func(c net.Conn) {
+		"reads the call and closes":        {script: func(net.Conn) {}, verdict: verdict.MayHaveRun},
+		"accepts and never answers":        {script: hang, verdict: verdict.MayHaveRun},
+		"closes inside the header":         {script: func(c net.Conn) { write(c, "HTTP/1.1 200") }, verdict: verdict.MayHaveRun},
+		"fails without the refusal header": {script: func(c net.Conn) { write(c, "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n") }, verdict: verdict.MayHaveRun},
+		"refuses with the refusal header": {script: func(c net.Conn) {
 			write(c, "HTTP/1.1 503 X\r\nX-Celeryport-Refused: full\r\nContent-Length: 0\r\n\r\n")
 		}, verdict: verdict.NotRun},
-		"gives up before the first token": {script: func(c net.Conn) {
+		"refuses in a frame before the first token": {script: func(c net.Conn) {
 			write(c, streamHeader)
 			writeFrames(c, wire.Frame{Request: "r1", Attempt: 1, Error: "memory", Refused: true})
 		}, verdict: verdict.NotRun},
-		"claims a refusal after a token": {
+		"refuses in a frame after the first token": {
 			script: func(c net.Conn) {
 				write(c, streamHeader)
 				writeFrames(c, good[0], wire.Frame{Request: "r1", Attempt: 1, Error: "memory", Refused: true})
 			},
 			text: "one ", verdict: verdict.MayHaveRun,
 		},
-		"closes short": {
+		"closes the connection early": {
 			script: func(c net.Conn) { write(c, streamHeader); writeFrames(c, good[0], good[1]) },
 			text:   "one two ", verdict: verdict.MayHaveRun,
 		},
-		"ends the stream in good order but short": {
+		"ends the chunked body early": {
 			script: func(c net.Conn) { write(c, streamHeader); writeFrames(c, good[0]); write(c, "0\r\n\r\n") },
 			text:   "one ", verdict: verdict.MayHaveRun,
 		},
@@ -101,23 +102,23 @@
 			script: func(c net.Conn) { write(c, streamHeader); writeFrames(c, good[0]); hang(c) },
 			text:   "one ", verdict: verdict.MayHaveRun,
 		},
-		"answers another request": {
+		"sends frames of another request": {
 			script:  func(c net.Conn) { write(c, streamHeader); writeFrames(c, frames("r2", 1, "theirs")...) },
 			verdict: verdict.MayHaveRun,
 		},
-		"answers an earlier attempt": {
+		"sends frames of an earlier attempt": {
 			script:  func(c net.Conn) { write(c, streamHeader); writeFrames(c, frames("r1", 0, "old")...) },
 			verdict: verdict.MayHaveRun,
 		},
-		"loses a frame": {
+		"omits a frame": {
 			script: func(c net.Conn) { write(c, streamHeader); writeFrames(c, good[0], good[2], good[3]) },
 			text:   "one ", verdict: verdict.MayHaveRun,
 		},
-		"doubles a frame": {
+		"repeats a frame": {
 			script: func(c net.Conn) { write(c, streamHeader); writeFrames(c, good[0], good[0], good[1]) },
 			text:   "one ", verdict: verdict.MayHaveRun,
 		},
-		"sends another text under the same offsets": {
+		"sends a text that does not match the checksum": {
 			script: func(c net.Conn) {
 				write(c, streamHeader)
 				bad := good[1]
@@ -126,7 +127,7 @@
 			},
 			text: "one TWO three", verdict: verdict.MayHaveRun,
 		},
-		"sends no frames": {
+		"sends a body without frames": {
 			script:  func(c net.Conn) { write(c, streamHeader, chunk("<html>\n")) },
 			verdict: verdict.MayHaveRun,
 		},
@@ -140,14 +141,14 @@
 				if text != test.text {
 					t.Errorf("accepted %q, want %q", text, test.text)
 				}
-				if receiver.Complete() != test.whole || (err == nil) != test.whole {
+				if receiver.Complete() != test.complete || (err == nil) != test.complete {
 					t.Fatalf("complete %v, error %v", receiver.Complete(), err)
 				}
 				if err != nil && verdict.From(err).Verdict != test.verdict {
 					t.Errorf("verdict %v, want %v: %v", verdict.From(err).Verdict, test.verdict, err)
 				}
 				if p.calls.Load() != 1 {
-					t.Errorf("the upstream saw %d calls", p.calls.Load())
+					t.Errorf("the upstream received %d calls, want 1", p.calls.Load())
 				}
 			})
 		})
@@ -163,9 +164,10 @@
 }
 
 func TestDeadlineEndsAnyWait(t *testing.T) {
-	// An engine freezes, or sends heartbeats for ever without a token. Without
-	// the deadline on the connection the caller would wait for ever.
-	warm(t)
+	// An engine hangs, or sends heartbeats without end and no token. If the end of
+	// the context did not close the connection, the caller would wait past its
+	// deadline.
+	initFasthttp(t)
 	for name, script := range map[string]func(net.Conn){
 		"frozen": hang,
 		"heartbeats only": func(conn net.Conn) {
@@ -192,9 +194,10 @@
 	}
 }
 
-// warm makes one fasthttp request outside any bubble: fasthttp starts a global
-// date goroutine once, which must not belong to a bubble.
-func warm(t *testing.T) {
+// initFasthttp makes one fasthttp request outside any synctest bubble: with the first
+// request fasthttp starts a global goroutine that updates the date, and that
+// goroutine must not belong to a bubble.
+func initFasthttp(t *testing.T) {
 	t.Helper()
 	p := newPeer(t, func(conn net.Conn, _ *fasthttp.Request) { write(conn, streamHeader) })
 	_, _ = generate(t.Context(), p.client(), NewReceiver("r1"))
--- a/upstream/client/peer_test.go
+++ b/upstream/client/peer_test.go
@@ -18,14 +18,14 @@
 	"celeryport/upstream/wire"
 )
 
-// peer is an upstream whose every byte the test decides.
+// peer is an upstream whose answers are written byte by byte by the test.
 type peer struct {
 	listener *fasthttputil.InmemoryListener
 	calls    atomic.Int64
 	done     chan struct{}
 }
 
-// newPeer starts a peer that reads one request a connection and lets the script
+// newPeer starts a peer that reads one request per connection and calls script to
 // answer it.
 func newPeer(t *testing.T, script func(conn net.Conn, request *fasthttp.Request)) *peer {
 	t.Helper()
@@ -49,8 +49,8 @@
 	return p
 }
 
-// close ends the peer and waits for its goroutine, as a bubble must end without
-// any.
+// close stops the peer and waits for its goroutine, because a synctest bubble must
+// not end with running goroutines.
 func (p *peer) close() {
 	_ = p.listener.Close()
 	<-p.done
@@ -72,7 +72,7 @@
 	return string(line) + "\n"
 }
 
-// frames builds the frames of a whole answer of one token a word.
+// frames returns the frames of a complete answer with one token per word.
 func frames(request string, attempt uint32, words ...string) []wire.Frame {
 	var list []wire.Frame
 	for i, word := range words {
@@ -97,7 +97,7 @@
 	}
 }
 
-// hang keeps the connection open, silently, until the client closes it.
+// hang sends nothing and keeps the connection open until the client closes it.
 func hang(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) }
 
 func owner() string { return "a/1" }
--- a/upstream/client/receiver.go
+++ b/upstream/client/receiver.go
@@ -7,24 +7,25 @@
 	"celeryport/upstream/wire"
 )
 
-// Receiver checks that the frames of an answer are those of its own request, in
-// order and complete. It outlives a broken stream: after a resume it goes on
-// where the last whole frame ended, and after a rerun on another engine it skips
-// what the caller has already seen, but only if it is the same text.
+// Receiver verifies that the frames of an answer belong to its request, are in
+// order and are complete. It is kept when a stream breaks: after a resume it
+// continues at the end of the last complete frame, and after a rerun on another
+// engine it skips the text that the caller has already received, provided that
+// the rerun repeats it exactly.
 type Receiver struct {
 	request  string
 	attempt  uint32
-	offset   int // answer tokens accepted from offset 0
-	length   int // their bytes
+	offset   int // number of answer tokens accepted, counted from offset 0
+	length   int // number of bytes accepted
 	digest   xxhash.Digest
-	seen     []byte // the accepted bytes, kept to compare a rerun
-	replayed int    // bytes of seen that the present stream has repeated
-	position int    // tokens of the present stream, replayed ones included
-	cached   int
+	seen     []byte // the accepted bytes, for comparison with a rerun
+	replayed int    // number of bytes of seen that the current stream has repeated
+	position int    // token offset of the current stream, replayed tokens included
+	cached   int    // prompt tokens taken from the prefix cache
 	final    bool
 }
 
-// The ways in which an upstream breaks the protocol.
+// Protocol violations of an upstream.
 var (
 	ErrForeignFrame = errors.New("frame of another request or attempt")
 	ErrWrongOffset  = errors.New("frame at a wrong offset")
@@ -41,8 +42,8 @@
 	return r
 }
 
-// Expect prepares for the stream of an attempt that starts at offset tokens:
-// Offset() to resume, or 0 to rerun from the start.
+// Expect prepares the receiver for the stream of an attempt that starts at the
+// given token offset: the value of Offset for a resume, 0 for a rerun.
 func (r *Receiver) Expect(attempt uint32, offset int) {
 	r.attempt = attempt
 	r.position = offset
@@ -52,7 +53,7 @@
 	}
 }
 
-// Accept checks one frame and returns the text that is new to the caller.
+// Accept verifies one frame and returns the part of its text that the caller has not received yet.
 func (r *Receiver) Accept(f *wire.Frame) (string, error) {
 	if f.Request != r.request || f.Attempt != r.attempt {
 		return "", errors.Wrapf(ErrForeignFrame, "got %s/%d, want %s/%d", f.Request, f.Attempt, r.request, r.attempt)
@@ -67,7 +68,7 @@
 		return "", errors.Wrapf(ErrWrongOffset, "got %d, want %d", f.Offset, r.position)
 	}
 	r.cached = max(r.cached, f.Cached)
-	text, err := r.take(f)
+	text, err := r.acceptText(f)
 	if err != nil {
 		return "", err
 	}
@@ -77,7 +78,7 @@
 	return text, nil
 }
 
-func (r *Receiver) take(f *wire.Frame) (string, error) {
+func (r *Receiver) acceptText(f *wire.Frame) (string, error) {
 	text := f.Text
 	r.position += f.Tokens
 	if pending := r.seen[r.replayed:]; len(pending) > 0 {
@@ -109,11 +110,11 @@
 	return nil
 }
 
-// Complete reports whether the whole answer was received and checked.
+// Complete reports whether the whole answer was received and verified.
 func (r *Receiver) Complete() bool { return r.final }
 
-// Offset is the number of answer tokens accepted.
+// Offset returns the number of answer tokens accepted.
 func (r *Receiver) Offset() int { return r.offset }
 
-// Cached is the number of prompt tokens that came from the prefix cache.
+// Cached returns the number of prompt tokens taken from the prefix cache.
 func (r *Receiver) Cached() int { return r.cached }
--- a/upstream/client/receiver_test.go
+++ b/upstream/client/receiver_test.go
@@ -23,9 +23,9 @@
 }
 
 func TestReceiverGoesOnAfterABreak(t *testing.T) {
-	// A stream breaks after the caller has seen two tokens. What follows must be
-	// the rest of the same answer and nothing else; a caller who got a doubled or
-	// a missing word, or the tail of a different answer, could not tell.
+	// A stream breaks after the caller has received two tokens. The text after the
+	// break must be exactly the rest of the same answer: the caller could not detect
+	// a repeated or missing word, or the end of a different answer.
 	words := []string{"one ", "two ", "three ", "four"}
 	seen := frames("r1", 1, words...)[:2]
 	tests := map[string]struct {
@@ -34,14 +34,14 @@
 		text   string
 		err    error
 	}{
-		"resumed by offset":           {2, frames("r1", 2, words...)[2:], "three four", nil},
+		"resumed at the offset":       {2, frames("r1", 2, words...)[2:], "three four", nil},
 		"rerun with the same text":    {0, frames("r1", 2, words...), "three four", nil},
 		"rerun with larger frames":    {0, merged("r1", 2, words...), "three four", nil},
-		"rerun with another text":     {0, frames("r1", 2, "one ", "zwei ", "drei"), "", ErrDiverged},
-		"rerun that is shorter":       {0, frames("r1", 2, "one "), "", ErrChecksum},
-		"late frame of attempt one":   {2, frames("r1", 1, words...)[2:], "", ErrForeignFrame},
-		"running checksum is right":   {2, withChecksums(frames("r1", 2, words...))[2:], "three four", nil},
-		"text damaged on the way":     {2, damaged(withChecksums(frames("r1", 2, words...)))[2:], "", ErrChecksum},
+		"rerun with a different text": {0, frames("r1", 2, "one ", "zwei ", "drei"), "", ErrDiverged},
+		"rerun with a shorter text":   {0, frames("r1", 2, "one "), "", ErrChecksum},
+		"late frame of attempt 1":     {2, frames("r1", 1, words...)[2:], "", ErrForeignFrame},
+		"running checksum matches":    {2, withChecksums(frames("r1", 2, words...))[2:], "three four", nil},
+		"text corrupted in transit":   {2, corrupted(withChecksums(frames("r1", 2, words...)))[2:], "", ErrChecksum},
 		"resumed at the wrong offset": {2, frames("r1", 2, words...)[1:], "", ErrWrongOffset},
 	}
 	for name, test := range tests {
@@ -63,7 +63,7 @@
 	}
 }
 
-// merged is a whole answer with all tokens in one frame.
+// merged returns the frames of a complete answer with all tokens in one frame.
 func merged(request string, attempt uint32, words ...string) []wire.Frame {
 	list := frames(request, attempt, words...)
 	final := list[len(list)-1]
@@ -73,7 +73,7 @@
 	}
 }
 
-// withChecksums adds the running checksum that an engine may send with each text.
+// withChecksums adds the running checksum that an engine may send with each text frame.
 func withChecksums(list []wire.Frame) []wire.Frame {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -86,8 +86,8 @@
 	return list
 }
 
-// damaged changes the third word.
-func damaged(list []wire.Frame) []wire.Frame {
+// corrupted changes the text of the third frame.
+func corrupted(list []wire.Frame) []wire.Frame {
 	list[2].Text = "THREE "
 	return list
 }
--- a/upstream/client/service.go
+++ b/upstream/client/service.go
@@ -12,30 +12,31 @@
 	"celeryport/verdict"
 )
 
-// ServiceCall is one call of a plain service.
+// ServiceCall is one call to a plain service.
 type ServiceCall struct {
 	Address     string
-	Incarnation uint64
+	Incarnation uint64 // expected incarnation of the service; a different one at the address refuses the call
 	Request     string
 	Attempt     uint32
 	Method      string
-	Path        string // with the query
+	Path        string // including the query
 	ContentType string
 	Body        []byte
 	Remaining   time.Duration
 	Key         string
-	MaxAnswer   int // bytes
+	MaxAnswer   int // maximum size of the answer body in bytes
 }
 
-// ServiceAnswer is the whole answer of a plain service.
+// ServiceAnswer is the complete answer of a plain service.
 type ServiceAnswer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Service sends the call and reads the whole answer. Silence is bounded by the
-// remaining time, since a plain service sends no heartbeats.
+// Service sends the call and reads the complete answer. The only limit on the time
+// without received data is the remaining time of the call, because a plain service
+// sends no heartbeats.
 func (c *Client) Service(ctx context.Context, call *ServiceCall) (*ServiceAnswer, *verdict.Error) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
--- a/upstream/client/silence.go
+++ b/upstream/client/silence.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// silenceConn fails a read or write that makes no progress for limit. An open
-// connection can go silent for good while new ones work; the upstream sends
-// heartbeats while it computes, so a silent stream is a dead one.
+// silenceConn fails a read or write that makes no progress for the duration limit.
+// An established connection can stop delivering data for good, without an error,
+// while new connections work. Engines send heartbeats while they compute, so a
+// stream without any data counts as failed.
 type silenceConn struct {
 	net.Conn
 	limit time.Duration
--- a/upstream/client/silence_test.go
+++ b/upstream/client/silence_test.go
@@ -12,8 +12,8 @@
 	"celeryport/upstream/wire"
 )
 
-// silenceTiming has the limit under test; withoutSilence stands for a client that
-// waits for the deadline.
+// silenceTiming has the limit under test; withoutSilence has a limit longer than
+// the deadline, so that only the deadline ends a wait.
 var (
 	silenceTiming  = DefaultTiming
 	withoutSilence = Timing{Connect: DefaultTiming.Connect, Silence: time.Hour, Control: DefaultTiming.Control}
@@ -21,8 +21,8 @@
 
 const silenceDeadline = 10 * time.Minute
 
-// detection runs one stream and returns when it ended and whether it was whole.
-func detection(t *testing.T, timing Timing, script func(conn net.Conn)) (took time.Duration, whole bool) {
+// runStream runs one stream and returns how long it took and whether the answer was complete.
+func runStream(t *testing.T, timing Timing, script func(conn net.Conn)) (took time.Duration, complete bool) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		p := newPeer(t, func(conn net.Conn, _ *fasthttp.Request) { script(conn) })
@@ -31,16 +31,17 @@
 		defer cancel()
 		start := time.Now()
 		_, err := generate(ctx, c, NewReceiver("r1"))
-		took, whole = time.Since(start), err == nil
+		took, complete = time.Since(start), err == nil
 	})
-	return took, whole
+	return took, complete
 }
 
 func TestSilentConnectionIsNoticed(t *testing.T) {
-	// Something between an instance and an engine loses track of an open
-	// connection: nothing arrives any more and nothing fails, while new connections
-	// work. Without a limit the caller waits until its deadline, ten minutes here.
-	warm(t)
+	// A device between an instance and an engine drops the state of an established
+	// connection: no more data arrives and no error is reported, while new
+	// connections work. Without the limit the caller waits until its deadline, here
+	// ten minutes.
+	initFasthttp(t)
 	good := frames("r1", 1, "one ", "two ")
 	for name, script := range map[string]func(net.Conn){
 		"before the header":      hang,
@@ -49,23 +50,24 @@
 		"before the final frame": func(c net.Conn) { write(c, streamHeader); writeFrames(c, good[:2]...); hang(c) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			with, _ := detection(t, silenceTiming, script)
-			without, _ := detection(t, withoutSilence, script)
-			t.Logf("noticed after %v, without the limit after %v", with, without)
+			with, _ := runStream(t, silenceTiming, script)
+			without, _ := runStream(t, withoutSilence, script)
+			t.Logf("detected after %v, without the limit after %v", with, without)
 			if with != silenceTiming.Silence || without != silenceDeadline {
-				t.Errorf("noticed after %v, want %v; without the limit after %v", with, silenceTiming.Silence, without)
+				t.Errorf("detected after %v, want %v; without the limit after %v", with, silenceTiming.Silence, without)
 			}
 		})
 	}
 }
 
 func TestBusyEngineRaisesNoFalseAlarm(t *testing.T) {
-	// A prefill of a million tokens keeps an engine busy for most of a minute. If
-	// that counted as silence, the longest prompts would never be answered.
-	warm(t)
+	// The prefill of a million tokens takes an engine most of a minute. If the
+	// connection were closed during that time, the longest prompts would never be
+	// answered.
+	initFasthttp(t)
 	good := frames("r1", 1, "one ")
 	const prefill = 50 * time.Second
-	beating := func(every time.Duration) func(net.Conn) {
+	withHeartbeats := func(every time.Duration) func(net.Conn) {
 		return func(conn net.Conn) {
 			write(conn, streamHeader)
 			for busy := time.Duration(0); busy < prefill; busy += every {
@@ -77,22 +79,22 @@
 		}
 	}
 	for name, test := range map[string]struct {
-		every time.Duration
-		whole bool
+		every    time.Duration
+		complete bool
 	}{
-		"heartbeats as the protocol says": {500 * time.Millisecond, true},
-		"heartbeats late by five":         {2900 * time.Millisecond, true},
-		"no heartbeats":                   {prefill, false},
+		"heartbeats at the interval of the protocol":  {500 * time.Millisecond, true},
+		"heartbeats at almost six times the interval": {2900 * time.Millisecond, true},
+		"no heartbeats": {prefill, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, whole := detection(t, silenceTiming, beating(test.every)); whole != test.whole {
-				t.Errorf("whole is %v", whole)
+			if _, complete := runStream(t, silenceTiming, withHeartbeats(test.every)); complete != test.complete {
+				t.Errorf("complete is %v", complete)
 			}
 		})
 	}
-	beat := len(chunk(frameLine(wire.Frame{Request: "01a23883-2f3b-7d4c-ae71-25bf569c9dac", Attempt: 1, Heartbeat: true})))
-	t.Logf("a heartbeat is %d bytes", beat)
-	if beat > 128 {
-		t.Errorf("a heartbeat is %d bytes", beat)
+	size := len(chunk(frameLine(wire.Frame{Request: "01a23883-2f3b-7d4c-ae71-25bf569c9dac", Attempt: 1, Heartbeat: true})))
+	t.Logf("a heartbeat is %d bytes", size)
+	if size > 128 {
+		t.Errorf("a heartbeat is %d bytes", size)
 	}
 }
--- a/upstream/client/stream.go
+++ b/upstream/client/stream.go
@@ -15,10 +15,10 @@
 	"celeryport/verdict"
 )
 
-// maxFrame bounds one frame in bytes; a longer one breaks the protocol.
+// maxFrame limits the size of one frame in bytes. A longer frame is a protocol violation.
 const maxFrame = 1 << 20
 
-// Stream is the answer to one GenerateCall.
+// Stream is the answer stream of one GenerateCall.
 type Stream struct {
 	exchange *exchange
 	lines    *bufio.Scanner
@@ -26,8 +26,8 @@
 	address  string
 }
 
-// Generate sends the call and returns its answer stream. The receiver must have
-// been prepared by Expect.
+// Generate sends the call and returns its answer stream. The caller must have
+// prepared the receiver with Expect.
 func (c *Client) Generate(ctx context.Context, call *GenerateCall, receiver *Receiver) (*Stream, *verdict.Error) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
@@ -47,8 +47,8 @@
 	return &Stream{exchange: e, lines: lines, receiver: receiver, address: call.Address}, nil
 }
 
-// refusal reads why an upstream did not start a call. Only the upstream's own
-// mark proves that it was not run.
+// refusal returns the error for a call that an upstream did not accept. Only the
+// refusal header proves that the upstream did not run it.
 func refusal(e *exchange, address string) *verdict.Error {
 	v := verdict.MayHaveRun
 	if len(e.response.Header.Peek(wire.HeaderRefused)) > 0 {
@@ -57,21 +57,22 @@
 	return verdict.New(v, verdict.ReasonUpstream, "upstream %s answered with status %d", address, e.response.StatusCode())
 }
 
-// Next returns the next new text. It returns io.EOF once the answer is whole and
-// checked; every other end is a verdict.Error.
+// Next returns the next part of the text that the caller has not received yet. It
+// returns io.EOF once the answer is complete and verified; every other error is a
+// verdict.Error.
 func (s *Stream) Next() (string, error) {
 	if s.receiver.Complete() {
 		return "", io.EOF
 	}
 	if !s.lines.Scan() {
-		return "", s.broken()
+		return "", s.interrupted()
 	}
 	var frame wire.Frame
 	if err := json.Unmarshal(s.lines.Bytes(), &frame); err != nil {
 		return "", s.violation(err)
 	}
 	if frame.Error != "" {
-		return "", s.gaveUp(&frame)
+		return "", s.engineError(&frame)
 	}
 	text, err := s.receiver.Accept(&frame)
 	if err != nil {
@@ -80,7 +81,7 @@
 	return text, nil
 }
 
-func (s *Stream) broken() error {
+func (s *Stream) interrupted() error {
 	cause := s.lines.Err()
 	if cause == nil {
 		cause = ErrIncomplete
@@ -88,18 +89,18 @@
 	return verdict.Wrap(cause, verdict.MayHaveRun, verdict.ReasonUpstream, "answer of upstream %s broke off", s.address)
 }
 
-// errViolation marks that an upstream broke the protocol.
+// errViolation marks the errors that are protocol violations.
 var errViolation = errors.New("protocol violation")
 
-// IsViolation reports whether a stream ended because the upstream broke the
-// protocol, so that picking it up again would only repeat that.
+// IsViolation reports whether a stream ended because the upstream violated the
+// protocol. Resuming such a stream would only repeat the violation.
 func IsViolation(err error) bool { return errors.Is(err, errViolation) }
 
 func (s *Stream) violation(cause error) error {
 	return verdict.Wrap(errors.Mark(cause, errViolation), verdict.MayHaveRun, verdict.ReasonUpstream, "upstream %s broke the protocol", s.address)
 }
 
-func (s *Stream) gaveUp(frame *wire.Frame) error {
+func (s *Stream) engineError(frame *wire.Frame) error {
 	v := verdict.MayHaveRun
 	if frame.Refused && s.receiver.Offset() == 0 {
 		v = verdict.NotRun
@@ -107,6 +108,6 @@
 	return verdict.Wrap(errors.Newf("%s", frame.Error), v, verdict.ReasonUpstream, "upstream %s gave up", s.address)
 }
 
-// Close ends the stream. The upstream's work must be cancelled apart if the
-// answer is not complete.
+// Close closes the stream. If the answer is not complete, the caller must also
+// cancel the request on the upstream.
 func (s *Stream) Close() { s.exchange.close() }
