--- a/upstream/wire/kv.go
+++ b/upstream/wire/kv.go
@@ -1,7 +1,8 @@
 package wire
 
-// KVExportRequest asks an engine to hold the KV cache of a prefix for a fetch by
-// another engine. It is leased like a reservation; a lease of 0 frees it.
+// KVExportRequest asks an engine to keep the KV cache of a prefix available for a
+// transfer to another engine. The export has a lease like a reservation; a lease
+// of 0 releases it.
 type KVExportRequest struct {
 	Request    string `json:"request"`
 	Attempt    uint32 `json:"attempt"`
@@ -10,15 +11,15 @@
 	LeaseMs    int64  `json:"lease_ms"`
 }
 
-// KVExportResponse answers a KVExportRequest. Granted is false when the prefix
-// is not cached any more or memory lacks.
+// KVExportResponse is the answer to a KVExportRequest. Granted is false if the
+// prefix is no longer cached or there is not enough free memory.
 type KVExportResponse struct {
 	Granted bool `json:"granted"`
 	Tokens  int  `json:"tokens"`
 }
 
-// KVImportRequest gives an engine the KV cache of a prefix that another one
-// exported.
+// KVImportRequest tells an engine to import the KV cache of a prefix that another
+// engine exported.
 type KVImportRequest struct {
 	Request    string `json:"request"`
 	Owner      string `json:"owner"`
@@ -26,7 +27,7 @@
 	Tokens     int    `json:"tokens"`
 }
 
-// KVImportResponse answers a KVImportRequest.
+// KVImportResponse is the answer to a KVImportRequest.
 type KVImportResponse struct {
 	Imported bool `json:"imported"`
 }
