--- a/rpc/auth.go
+++ b/rpc/auth.go
@@ -10,42 +10,42 @@
 	"github.com/twitchtv/twirp"
 )
 
-// Role says who calls.
+// Role is the role of an authenticated caller.
 type Role uint8
 
 const (
-	// Unknown callers presented no valid key.
+	// Unknown is the role of callers without a valid key.
 	Unknown Role = iota
-	// Operator callers presented an operator key.
+	// Operator is the role of callers with an operator key.
 	Operator
-	// Instance callers presented the instance key.
+	// Instance is the role of callers with the instance key.
 	Instance
 )
 
 type roleKey struct{}
 
-// RoleOf returns the role of the caller of a handler.
+// RoleOf returns the role of the caller from the context of a handler.
 func RoleOf(ctx context.Context) Role {
 	role, _ := ctx.Value(roleKey{}).(Role)
 	return role
 }
 
-// WithRole marks a context, for calls that stay inside the process.
+// WithRole returns a context with the role of the caller. Calls inside the process set it directly.
 func WithRole(ctx context.Context, role Role) context.Context {
 	return context.WithValue(ctx, roleKey{}, role)
 }
 
-// Keys are the keys that a control address accepts.
+// Keys are the keys accepted at a control address.
 type Keys struct {
 	Instance  string
 	Operators []string
 }
 
-// digest makes keys of all lengths comparable in constant time.
+// digest returns a hash of fixed size, so that keys of any length are compared in constant time.
 func digest(key string) [sha256.Size]byte { return sha256.Sum256([]byte(key)) }
 
-// role compares the presented key with every known one, whatever matches, so
-// that the time taken says nothing about the keys.
+// role returns the role of the presented key. It compares the key with all accepted
+// keys even after a match, so that the response time reveals nothing about them.
 func (k Keys) role(presented string) Role {
 	role := Unknown
 	sum := digest(presented)
@@ -60,7 +60,7 @@
 	return role
 }
 
-// matches refuses the empty key: a key that is not set admits nobody.
+// matches never accepts the empty key, so that a key that is not configured grants no access.
 func matches(sum [sha256.Size]byte, key string) bool {
 	want := digest(key)
 	return subtle.ConstantTimeCompare(sum[:], want[:]) == 1 && key != ""
@@ -68,8 +68,8 @@
 
 const bearer = "Bearer "
 
-// Authenticate refuses callers without a valid key and notes the role of the
-// others. Operators reach Operate only.
+// Authenticate rejects calls without a valid key and stores the role of the caller
+// in the context of the others. Operators may call only Operate.
 func Authenticate(keys Keys, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), bearer)
@@ -78,7 +78,7 @@
 			_ = twirp.WriteError(w, twirp.NewError(twirp.Unauthenticated, "the key is not accepted here"))
 			return
 		}
-		w.Header()["Date"] = nil // clocks need not agree, so nobody reads it
+		w.Header()["Date"] = nil // never read, because clocks are not assumed to be synchronised
 		next.ServeHTTP(w, r.WithContext(WithRole(r.Context(), role)))
 	})
 }
--- a/rpc/client.go
+++ b/rpc/client.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Dial opens a connection; tests replace it.
+// Dial opens a connection. Tests provide their own implementation.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 const (
@@ -18,8 +18,8 @@
 	idleTimeout     = 30 * time.Second
 )
 
-// Clients calls the control addresses of instances with one key, over
-// connections that are kept alive. It never repeats a call by itself.
+// Clients calls the control addresses of instances with one key over keep-alive
+// connections. It never retries a call by itself.
 type Clients struct {
 	key       string
 	transport *http.Transport
@@ -29,21 +29,21 @@
 	clients map[string]Control
 }
 
-// Stats counts what left and arrived over the connections of a Clients.
+// Stats counts the calls and the bytes on the connections of a Clients.
 type Stats struct {
 	Calls    atomic.Uint64
-	Sent     atomic.Uint64 // bytes, with HTTP headers
-	Received atomic.Uint64
+	Sent     atomic.Uint64 // bytes, including HTTP headers
+	Received atomic.Uint64 // bytes, including HTTP headers
 }
 
-// NewClients returns clients that authenticate with key. A nil dial uses TCP.
+// NewClients returns clients that authenticate with key. A nil dial selects TCP.
 func NewClients(key string, dial Dial) *Clients {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
 	c := &Clients{key: key, clients: map[string]Control{}}
 	c.transport = &http.Transport{
-		DialContext:         c.counted(dial),
+		DialContext:         c.countingDial(dial),
 		MaxIdleConnsPerHost: idleConnections,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
@@ -51,7 +51,7 @@
 	return c
 }
 
-// At returns the client of one control address.
+// At returns the client for a control address.
 func (c *Clients) At(address string) Control {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,58 +66,58 @@
 // Stats returns the counters.
 func (c *Clients) Stats() *Stats { return &c.stats }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Clients) Close() { c.transport.CloseIdleConnections() }
 
 // Do implements HTTPClient.
 //
-// net/http sends a request again by itself when a kept-alive connection turns
-// out to be closed and the body can be rewound. The first sending may have been
-// executed, and the caller would learn of one execution only. Without GetBody
-// the transport can't rewind, so the error reaches the caller, who knows whether
-// a second sending is safe.
+// net/http retries a request by itself when a keep-alive connection turns out to be
+// closed and the body can be rewound. The instance may already have executed the
+// first request, in which case the caller would learn of only one of two
+// executions. Without GetBody the transport can't rewind the body, so the error is
+// returned to the caller, which knows whether a retry is safe.
 func (c *Clients) Do(req *http.Request) (*http.Response, error) {
 	req.GetBody = nil
 	req.Header.Set("Authorization", bearer+c.key)
-	leaveOut(req.Header)
+	removeUnusedHeaders(req.Header)
 	c.stats.Calls.Add(1)
 	return c.transport.RoundTrip(req)
 }
 
-// leaveOut drops the headers that no instance reads. At two syncs a second they
-// would be a tenth of what an instance at rest sends.
-func leaveOut(h http.Header) {
-	h.Set("User-Agent", "") // else net/http adds its own
+// removeUnusedHeaders removes the headers that no instance reads. At two syncs per second they
+// would be a tenth of the traffic that an idle instance sends.
+func removeUnusedHeaders(h http.Header) {
+	h.Set("User-Agent", "") // an empty value prevents net/http from adding its default
 	h.Del("Accept")
 	h.Del("Twirp-Version")
 }
 
-// counted wraps the connections that dial opens so that their bytes count.
-func (c *Clients) counted(dial Dial) Dial {
+// countingDial wraps dial so that the bytes on its connections are counted in the stats.
+func (c *Clients) countingDial(dial Dial) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		conn, err := bounded(ctx, dial, network, address)
+		conn, err := dialBounded(ctx, dial, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &countedConn{Conn: conn, stats: &c.stats}, nil
+		return &countingConn{Conn: conn, stats: &c.stats}, nil
 	}
 }
 
-// countedConn counts the bytes of one connection.
-type countedConn struct {
+// countingConn counts the bytes read and written on one connection.
+type countingConn struct {
 	net.Conn
 	stats *Stats
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.stats.Received.Add(uint64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.stats.Sent.Add(uint64(n))
 	return n, err
--- a/rpc/dialbound.go
+++ b/rpc/dialbound.go
@@ -8,16 +8,16 @@
 
 type dialBoundKey struct{}
 
-// WithDialBound bounds how long calls with this context wait for a new connection. A
-// machine without power answers no attempt, and the system's own repeat of one comes
-// after a second: a machine that is back a moment after the first attempt is not seen
-// until then.
+// WithDialBound returns a context whose calls wait at most bound for a new connection. A
+// machine that is switched off does not answer connection attempts, and the operating
+// system retries an attempt only after one second. A machine that comes back shortly
+// after the first attempt would not be detected before that retry.
 func WithDialBound(ctx context.Context, bound time.Duration) context.Context {
 	return context.WithValue(ctx, dialBoundKey{}, bound)
 }
 
-// bounded opens a connection within the bound of the context, if it has one.
-func bounded(ctx context.Context, dial Dial, network, address string) (net.Conn, error) {
+// dialBounded opens a connection within the dial time-out of the context, if there is one.
+func dialBounded(ctx context.Context, dial Dial, network, address string) (net.Conn, error) {
 	if bound, found := ctx.Value(dialBoundKey{}).(time.Duration); found {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, bound)
--- a/rpc/doc.go
+++ b/rpc/doc.go
@@ -1,4 +1,4 @@
-// Package rpc is the protocol between the instances, and between operators and
-// instances: generated code, the clients that never repeat a call, the keys, and
-// the way of a verdict through an error.
+// Package rpc implements the control protocol between instances, and between
+// operators and instances. It contains the generated code, clients that never retry
+// a call, the authentication by keys, and the encoding of verdicts in errors.
 package rpc
--- a/rpc/errors.go
+++ b/rpc/errors.go
@@ -11,15 +11,15 @@
 	"celeryport/verdict"
 )
 
-// The metadata of a twirp error that carries a verdict.
+// Metadata keys of a twirp error that carries a verdict.
 const (
 	metaVerdict = "verdict"
 	metaReason  = "reason"
 	metaRetry   = "retry_after_ms"
 )
 
-// ToTwirp turns an error of a handler into one that keeps its verdict on the
-// way to the caller.
+// ToTwirp converts an error of a handler to a twirp error that carries its verdict
+// to the caller.
 func ToTwirp(err error) error {
 	found := verdict.From(err)
 	if found == nil {
@@ -31,10 +31,10 @@
 		WithMeta(metaRetry, strconv.FormatInt(found.RetryAfter.Milliseconds(), 10))
 }
 
-// FromTwirp turns the error of a call into one with a verdict: that of the
-// remote handler if it sent one, NotRun if no connection was made, and the
-// careful one otherwise, since the request may have arrived and only its answer
-// been lost.
+// FromTwirp converts the error of a call to one with a verdict: the verdict of the
+// remote handler if there is one, NotRun if the key was rejected or no connection
+// was established, and otherwise MayHaveRun, because the request may have arrived
+// and only the answer been lost.
 func FromTwirp(err error) error {
 	if err == nil {
 		return nil
@@ -42,7 +42,7 @@
 	if remote, ok := fromMeta(err); ok {
 		return remote
 	}
-	if refusedKey(err) {
+	if isUnauthenticated(err) {
 		return verdict.Wrap(err, verdict.NotRun, verdict.ReasonUnauthorized, "the instance does not accept the key")
 	}
 	if notSent(err) {
@@ -64,14 +64,14 @@
 	return found, true
 }
 
-// notSent reports whether the call failed before a connection was there, so
-// that no byte of it can have arrived.
+// notSent reports whether the call failed while dialling, so that no byte of it can
+// have arrived.
 func notSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func refusedKey(err error) bool {
+func isUnauthenticated(err error) bool {
 	var remote twirp.Error
 	return errors.As(err, &remote) && remote.Code() == twirp.Unauthenticated
 }
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -18,8 +18,8 @@
 	"celeryport/verdict"
 )
 
-// countingPeer answers the first request of a connection, reads the second,
-// counts it and closes without an answer.
+// countingPeer starts a server that counts requests. On each connection it answers
+// the first request, and reads the second and closes without an answer.
 func countingPeer(t *testing.T) (address string, requests *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -58,9 +58,9 @@
 }
 
 func TestClientsNeverRepeatACall(t *testing.T) {
-	// An instance reads an order on a kept-alive connection, executes it and dies
-	// before it answers. net/http would send the order again by itself, to the
-	// instance that took over the address, and its caller would know of one.
+	// An instance reads an order on a keep-alive connection, executes it and crashes
+	// before it answers. net/http would retry the order by itself, on the instance
+	// that took over the address, and the caller would learn of only one execution.
 	address, requests := countingPeer(t)
 	clients := NewClients("k", nil)
 	defer clients.Close()
@@ -81,47 +81,47 @@
 		t.Fatal(err)
 	}
 	if err := post(); err == nil {
-		t.Fatal("no error although there was no answer")
+		t.Fatal("no error although the second call got no answer")
 	}
 	if requests.Load() != 2 {
-		t.Fatalf("two calls arrived as %d", requests.Load())
+		t.Fatalf("the server received %d requests, want 2", requests.Load())
 	}
 }
 
-// answering is a server whose Operate gives a fixed error; the rest succeeds.
-type answering struct{ err error }
+// stubControl is a control server whose Operate returns a fixed error; all other calls succeed.
+type stubControl struct{ err error }
 
-func (answering) Consensus(context.Context, *ConsensusRequest) (*ConsensusResponse, error) {
+func (stubControl) Consensus(context.Context, *ConsensusRequest) (*ConsensusResponse, error) {
 	return &ConsensusResponse{}, nil
 }
 
-func (answering) Claim(context.Context, *ClaimRequest) (*ClaimResponse, error) {
+func (stubControl) Claim(context.Context, *ClaimRequest) (*ClaimResponse, error) {
 	return &ClaimResponse{}, nil
 }
 
-func (answering) Sync(context.Context, *SyncRequest) (*SyncResponse, error) {
+func (stubControl) Sync(context.Context, *SyncRequest) (*SyncResponse, error) {
 	return &SyncResponse{}, nil
 }
 
-func (answering) CopyLedger(context.Context, *LedgerRequest) (*LedgerResponse, error) {
+func (stubControl) CopyLedger(context.Context, *LedgerRequest) (*LedgerResponse, error) {
 	return &LedgerResponse{}, nil
 }
 
-func (a answering) Operate(context.Context, *OperateRequest) (*OperateResponse, error) {
-	return &OperateResponse{}, a.err
+func (s stubControl) Operate(context.Context, *OperateRequest) (*OperateResponse, error) {
+	return &OperateResponse{}, s.err
 }
 
 func serveControl(t *testing.T, failure error) string {
 	t.Helper()
 	keys := Keys{Instance: "instance", Operators: []string{"first", "second", ""}}
-	server := httptest.NewServer(Authenticate(keys, NewControlServer(answering{failure})))
+	server := httptest.NewServer(Authenticate(keys, NewControlServer(stubControl{failure})))
 	t.Cleanup(server.Close)
 	return server.Listener.Addr().String()
 }
 
-func TestKeysOpenOnlyWhatTheyMay(t *testing.T) {
-	// An operator key leaks, or a caller guesses. Neither may vote in the name of
-	// a voter or make an instance install settings.
+func TestKeysGrantOnlyTheirRole(t *testing.T) {
+	// An operator key leaks, or a caller guesses a key. Neither may allow its holder
+	// to vote in place of a voter or to install settings on an instance.
 	address := serveControl(t, nil)
 	tests := map[string]struct{ operate, sync bool }{
 		"instance": {true, true},
@@ -138,13 +138,13 @@
 			t.Errorf("key %q: operate %v, sync %v", key, operateErr, syncErr)
 		}
 		if !want.operate && verdict.From(FromTwirp(operateErr)).Reason != verdict.ReasonUnauthorized {
-			t.Errorf("key %q: refused as %v", key, FromTwirp(operateErr))
+			t.Errorf("key %q: rejected with %v, want ReasonUnauthorized", key, FromTwirp(operateErr))
 		}
 		clients.Close()
 	}
 }
 
-func TestVerdictSurvivesTheTrip(t *testing.T) {
+func TestVerdictIsKeptAcrossACall(t *testing.T) {
 	for _, sent := range []*verdict.Error{
 		verdict.Refuse(verdict.ReasonNotLeader, 3*time.Second, "ask another"),
 		verdict.New(verdict.MayHaveRun, verdict.ReasonNoQuorum, "no majority"),
@@ -161,9 +161,9 @@
 }
 
 func TestVerdictsOfLostCalls(t *testing.T) {
-	// Nothing listens: no byte can have left. A peer that read the request and
-	// closed may have executed it. Whoever mixed them up would either run an order
-	// twice or give up one that never ran.
+	// If nothing listens at the address, the call was never sent. A peer that read
+	// the request and closed the connection may have executed it. If the two cases
+	// were confused, an order would be executed twice or dropped without having run.
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -173,15 +173,15 @@
 	defer clients.Close()
 	_, refused := clients.At(closed.Addr().String()).Operate(t.Context(), &OperateRequest{})
 	if got := verdict.From(FromTwirp(refused)); got.Verdict != verdict.NotRun {
-		t.Errorf("refused connection: %v", got)
+		t.Errorf("refused connection: got %v, want NotRun", got)
 	}
 	address, _ := countingPeer(t)
 	_, _ = clients.At(address).Operate(t.Context(), &OperateRequest{})
 	_, lost := clients.At(address).Operate(t.Context(), &OperateRequest{})
 	if got := verdict.From(FromTwirp(lost)); got.Verdict != verdict.MayHaveRun {
-		t.Errorf("lost answer: %v", got)
+		t.Errorf("lost answer: got %v, want MayHaveRun", got)
 	}
 	if FromTwirp(nil) != nil || FromTwirp(twirp.InternalError("x")) == nil {
-		t.Error("nil and errors are mixed up")
+		t.Error("nil must stay nil, and an error must stay an error")
 	}
 }
