--- a/bench/instance.go
+++ b/bench/instance.go
@@ -46,7 +46,7 @@
 
 func (i *instance) hear(a upstream.Announcement, age time.Duration) {
 	if !i.down {
-		i.registry.HearRelayed(i.world.time(), upstream.Relayed{Announcement: a, Age: age})
+		i.registry.ApplyRelayed(i.world.time(), upstream.Relayed{Announcement: a, Age: age})
 		i.dirty = true
 	}
 }
--- a/control/fanout.go
+++ b/control/fanout.go
@@ -98,8 +98,8 @@
 	relayed, position := receiveInbox(f.inboxes, now, p)
 	for _, r := range relayed {
 		f.core.logUpstream(r.Announcement)
-		f.core.heard.HearRelayed(now, r)
-		if !f.core.known.HearRelayed(now, r) {
+		f.core.heard.ApplyRelayed(now, r)
+		if !f.core.known.ApplyRelayed(now, r) {
 			continue
 		}
 		f.core.markUpstreamChanged(r.Announcement)
--- a/control/relay/relay_test.go
+++ b/control/relay/relay_test.go
@@ -128,7 +128,7 @@
 					continue
 				}
 				for _, one := range relayed {
-					registry.HearRelayed(now, one)
+					registry.ApplyRelayed(now, one)
 				}
 			}
 			compare(t, registry, truth, now)
--- a/control/relaying.go
+++ b/control/relaying.go
@@ -64,7 +64,7 @@
 	relayed, position := receiveInbox(l.inboxes, now, p)
 	for _, r := range relayed {
 		l.core.logUpstream(r.Announcement)
-		if l.core.known.HearRelayed(now, r) {
+		if l.core.known.ApplyRelayed(now, r) {
 			l.core.markUpstreamChanged(r.Announcement)
 		}
 	}
@@ -82,7 +82,7 @@
 	}
 	for _, one := range relayed {
 		c.logUpstream(one.Announcement)
-		if c.known.HearRelayed(now, one) {
+		if c.known.ApplyRelayed(now, one) {
 			c.markUpstreamChanged(one.Announcement)
 		}
 	}
--- a/control/remembered.go
+++ b/control/remembered.go
@@ -103,7 +103,7 @@
 
 func (c *core) addRemembered(now time.Time, r *remembered) {
 	for _, a := range r.Upstreams {
-		c.known.HearRelayed(now, upstream.Relayed{Announcement: a, Age: c.freshFor() + time.Second})
+		c.known.ApplyRelayed(now, upstream.Relayed{Announcement: a, Age: c.freshFor() + time.Second})
 	}
 	c.members.addUnknown(now, r.Instances)
 	c.views.dirty()
--- a/control/voter_bench_test.go
+++ b/control/voter_bench_test.go
@@ -96,7 +96,7 @@
 			}
 			for _, one := range relayed {
 				c.logUpstream(one.Announcement)
-				c.known.HearRelayed(now, one)
+				c.known.ApplyRelayed(now, one)
 			}
 			c.publish(now)
 			for i, caller := range callers {
--- a/dispatch/leaving_test.go
+++ b/dispatch/leaving_test.go
@@ -57,7 +57,7 @@
 		},
 		"never heard, only a late relay of an older one": {
 			hear: func(r *upstream.Registry) {
-				r.HearRelayed(at(2.5), upstream.Relayed{Announcement: announced(1, false), Age: 2 * time.Second})
+				r.ApplyRelayed(at(2.5), upstream.Relayed{Announcement: announced(1, false), Age: 2 * time.Second})
 			},
 			views: []float64{2.5}, last: 0.5 + leavingFreshFor.Seconds(),
 		},
--- a/forward/health_test.go
+++ b/forward/health_test.go
@@ -45,7 +45,7 @@
 	registry := upstream.NewRegistry(time.Hour)
 	now := time.Now()
 	for i, name := range []string{"z-dead", "a-successor"} {
-		registry.HearRelayed(now.Add(time.Duration(i)*time.Second), upstream.Relayed{Announcement: upstream.Announcement{
+		registry.ApplyRelayed(now.Add(time.Duration(i)*time.Second), upstream.Relayed{Announcement: upstream.Announcement{
 			Name: name, Incarnation: 1, Sequence: 1, Address: "10.0.1.1:80", Targets: []string{"model"},
 		}})
 	}
--- a/upstream/address_index_test.go
+++ b/upstream/address_index_test.go
@@ -22,7 +22,7 @@
 				Leaving:     rapid.Bool().Draw(t, "leaving"),
 			}
 			if rapid.Bool().Draw(t, "relayed") {
-				r.HearRelayed(now, Relayed{Announcement: a})
+				r.ApplyRelayed(now, Relayed{Announcement: a})
 			} else {
 				r.Hear(now, a)
 			}
--- a/upstream/registry.go
+++ b/upstream/registry.go
@@ -61,7 +61,7 @@
 	if known := r.records[a.Name]; known == nil || a.Incarnation > known.announcement.Incarnation {
 		r.supersede(now, a)
 	}
-	return r.HearRelayed(now, Relayed{Announcement: a})
+	return r.ApplyRelayed(now, Relayed{Announcement: a})
 }
 
 // supersedeAfter is the minimum time without announcements after which an upstream
@@ -85,9 +85,9 @@
 	}
 }
 
-// HearRelayed applies an announcement that another instance received and reports
+// ApplyRelayed applies an announcement that another instance received and reports
 // whether it changed the registry.
-func (r *Registry) HearRelayed(now time.Time, relayed Relayed) bool {
+func (r *Registry) ApplyRelayed(now time.Time, relayed Relayed) bool {
 	a := relayed.Announcement
 	receivedAt := now.Add(-max(0, relayed.Age))
 	known := r.records[a.Name]
--- a/upstream/registry_test.go
+++ b/upstream/registry_test.go
@@ -66,7 +66,7 @@
 			now := testStart
 			for i, s := range steps {
 				now = now.Add(s.after)
-				r.HearRelayed(now, Relayed{Announcement: s.announce, Age: s.age})
+				r.ApplyRelayed(now, Relayed{Announcement: s.announce, Age: s.age})
 				if got := stateOf(t, r, now, "e1"); got != s.want {
 					t.Fatalf("step %d: state %v, want %v", i, got, s.want)
 				}
@@ -163,7 +163,7 @@
 		r := NewRegistry(time.Minute)
 		r.Hear(start, Announcement{Name: "e1", Incarnation: 1, Sequence: known})
 		_, version := r.ChangesSince(start, 0)
-		changed := r.HearRelayed(start, Relayed{Announcement: Announcement{Name: "e1", Incarnation: 1, Sequence: 11, Leaving: true}})
+		changed := r.ApplyRelayed(start, Relayed{Announcement: Announcement{Name: "e1", Incarnation: 1, Sequence: 11, Leaving: true}})
 		found, _ := r.Find("e1")
 		if changes, _ := r.ChangesSince(start, version); !changed || !found.Leaving || len(changes) != 1 {
 			t.Errorf("%s announcement known: changed %t, leaving %t, %d changes for others", name, changed, found.Leaving, len(changes))
