--- a/control/core.go
+++ b/control/core.go
@@ -136,9 +136,9 @@
 
 // hear processes an announcement that an upstream made to this instance.
 func (c *core) hear(now time.Time, a upstream.Announcement) {
-	news := c.heard.Hear(now, a)
+	news := c.heard.Apply(now, a)
 	c.logUpstream(a)
-	c.known.Hear(now, a)
+	c.known.Apply(now, a)
 	if !news {
 		return
 	}
--- a/control/fanout_bench_test.go
+++ b/control/fanout_bench_test.go
@@ -25,7 +25,7 @@
 		}})
 	}
 	for n := range 600 {
-		c.known.Hear(now, upstream.Announcement{
+		c.known.Apply(now, upstream.Announcement{
 			Name: fmt.Sprint("engine-", n), Incarnation: 1, Address: fmt.Sprintf("10.0.%d.%d:9", n/250, n%250), Targets: []string{"m"},
 			AvailabilityZone: "sala-ortigia", Slots: 10, Version: "v1",
 		})
--- a/control/relay/relay_test.go
+++ b/control/relay/relay_test.go
@@ -108,7 +108,7 @@
 				}
 				a := announcement(i, sequences[i])
 				a.Incarnation += incarnations[i]
-				truth.Hear(now, a)
+				truth.Apply(now, a)
 			}
 			changes, newest := truth.ChangesSince(now, version)
 			version = newest
--- a/control/voter_bench_test.go
+++ b/control/voter_bench_test.go
@@ -101,7 +101,7 @@
 			c.publish(now)
 			for i, caller := range callers {
 				for k := half; k < each; k += 2 {
-					caller.heard.Hear(now, announced(i*each+k, sequence))
+					caller.heard.Apply(now, announced(i*each+k, sequence))
 				}
 				size = caller.sync(b, c.fanout, now)
 			}
--- a/dispatch/leaving_test.go
+++ b/dispatch/leaving_test.go
@@ -35,24 +35,24 @@
 	}{
 		"heard": {
 			hear: func(r *upstream.Registry) {
-				r.Hear(at(0), announced(1, false))
-				r.Hear(at(leaves), announced(2, true))
+				r.Apply(at(0), announced(1, false))
+				r.Apply(at(leaves), announced(2, true))
 			},
 			views: []float64{leaves}, last: leaves,
 		},
 		"received before an older one": {
 			hear: func(r *upstream.Registry) {
-				r.Hear(at(leaves), announced(3, true))
-				r.Hear(at(leaves+0.5), announced(2, false))
+				r.Apply(at(leaves), announced(3, true))
+				r.Apply(at(leaves+0.5), announced(2, false))
 			},
 			views: []float64{leaves + 0.5}, last: 0,
 		},
 		"never heard": {
-			hear:  func(r *upstream.Registry) { r.Hear(at(0.9), announced(1, false)) },
+			hear:  func(r *upstream.Registry) { r.Apply(at(0.9), announced(1, false)) },
 			views: []float64{0.9, 2, 3, 4, 5, 6}, last: 0.9 + leavingFreshFor.Seconds(),
 		},
 		"never heard, control hangs": {
-			hear:  func(r *upstream.Registry) { r.Hear(at(0.9), announced(1, false)) },
+			hear:  func(r *upstream.Registry) { r.Apply(at(0.9), announced(1, false)) },
 			views: []float64{0.9}, last: 0.9 + leavingFreshFor.Seconds(),
 		},
 		"never heard, only a late relay of an older one": {
--- a/entry/fake_test.go
+++ b/entry/fake_test.go
@@ -127,7 +127,7 @@
 		if name[0] != 'e' {
 			a.Kind, a.Targets = upstream.Service, []string{"cassa"}
 		}
-		registry.Hear(time.Now(), a)
+		registry.Apply(time.Now(), a)
 	}
 	return registry.Snapshot(time.Now())
 }
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -107,7 +107,7 @@
 		}
 		registry := upstream.NewRegistry(time.Second)
 		now := time.Unix(1_700_000_000, 0)
-		registry.Hear(now, *a)
+		registry.Apply(now, *a)
 		u := registry.Snapshot(now).Upstreams[0]
 		if u.Announcement.Kind == upstream.Engine && u.Announcement.MemoryTokens <= 0 {
 			t.Error("an engine without memory")
--- a/entry/span_test.go
+++ b/entry/span_test.go
@@ -23,7 +23,7 @@
 func (b *bench) smallEngines() {
 	registry := upstream.NewRegistry(time.Hour)
 	for name := range b.peers {
-		registry.Hear(time.Now(), upstream.Announcement{
+		registry.Apply(time.Now(), upstream.Announcement{
 			Name: name, Incarnation: 1, Sequence: 2, Address: name, MemoryTokens: spanEngineTokens, Slots: 16,
 			Targets: []string{"sarto"}, Load: upstream.Load{PrefillRate: 20_000},
 		})
--- a/forward/arbitration_test.go
+++ b/forward/arbitration_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	registry := upstream.NewRegistry(time.Hour)
 	for i := range 18 {
-		registry.Hear(time.Now(), upstream.Announcement{
+		registry.Apply(time.Now(), upstream.Announcement{
 			Name: fmt.Sprint("engine-", i), Incarnation: 1, Sequence: 1, Address: fmt.Sprintf("10.0.1.%d:80", i), Targets: []string{"model"},
 		})
 	}
--- a/forward/suspects_test.go
+++ b/forward/suspects_test.go
@@ -101,8 +101,8 @@
 			log, _ := test.NewNullLogger()
 			f := newTestFleet(log, func(context.Context, string, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED })
 			registry := upstream.NewRegistry(time.Hour)
-			registry.Hear(time.Now(), upstream.Announcement{Name: "leaving", Incarnation: 1, Sequence: 1, Address: "10.0.0.1:1", Leaving: true})
-			registry.Hear(time.Now(), upstream.Announcement{Name: "ready", Incarnation: 1, Sequence: 1, Address: "10.0.0.2:1"})
+			registry.Apply(time.Now(), upstream.Announcement{Name: "leaving", Incarnation: 1, Sequence: 1, Address: "10.0.0.1:1", Leaving: true})
+			registry.Apply(time.Now(), upstream.Announcement{Name: "ready", Incarnation: 1, Sequence: 1, Address: "10.0.0.2:1"})
 			plane := &evidencePlane{view: &control.View{Upstreams: registry.Snapshot(time.Now())}}
 			f.options.Plane = plane
 			<-f.recordBroken(&node{incarnationID: incarnationID{name: name, incarnation: 1}}, brokenSend{request: lethalRequest, phase: phaseStarted})
--- a/order/reconciler_test.go
+++ b/order/reconciler_test.go
@@ -64,7 +64,7 @@
 func (s engineSet) snapshot(now time.Time) *upstream.Snapshot {
 	registry := upstream.NewRegistry(time.Hour)
 	for _, e := range s {
-		registry.Hear(now, upstream.Announcement{
+		registry.Apply(now, upstream.Announcement{
 			Name: e.name, Incarnation: e.state.Incarnation, Sequence: uint64(now.UnixNano()),
 			Address: e.name, Kind: upstream.Engine, Targets: e.state.Models, Fencing: e.fencing,
 		})
--- a/upstream/address_index_test.go
+++ b/upstream/address_index_test.go
@@ -24,7 +24,7 @@
 			if rapid.Bool().Draw(t, "relayed") {
 				r.ApplyRelayed(now, Relayed{Announcement: a})
 			} else {
-				r.Hear(now, a)
+				r.Apply(now, a)
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			if rapid.IntRange(0, 9).Draw(t, "expire") == 0 {
--- a/upstream/registry.go
+++ b/upstream/registry.go
@@ -55,9 +55,9 @@
 	r.retention = retentionFactor * freshFor
 }
 
-// Hear applies an announcement that the upstream sent to this instance and
+// Apply applies an announcement that the upstream sent to this instance and
 // reports whether it changed the registry.
-func (r *Registry) Hear(now time.Time, a Announcement) bool {
+func (r *Registry) Apply(now time.Time, a Announcement) bool {
 	if known := r.records[a.Name]; known == nil || a.Incarnation > known.announcement.Incarnation {
 		r.supersede(now, a)
 	}
--- a/upstream/registry_bench_test.go
+++ b/upstream/registry_bench_test.go
@@ -9,7 +9,7 @@
 func BenchmarkSnapshot(b *testing.B) {
 	r := NewRegistry(testFreshFor)
 	for i := range 600 {
-		r.Hear(testStart, Announcement{Name: fmt.Sprintf("engine-%d", i), Incarnation: 1, Sequence: 1, Targets: []string{"sarto"}})
+		r.Apply(testStart, Announcement{Name: fmt.Sprintf("engine-%d", i), Incarnation: 1, Sequence: 1, Targets: []string{"sarto"}})
 	}
 	for b.Loop() {
 		r.Snapshot(testStart)
@@ -29,7 +29,7 @@
 	for b.Loop() {
 		r := NewRegistry(testFreshFor)
 		for i := range announcements {
-			r.Hear(testStart, announcements[i])
+			r.Apply(testStart, announcements[i])
 		}
 	}
 }
--- a/upstream/registry_test.go
+++ b/upstream/registry_test.go
@@ -83,7 +83,7 @@
 	// published. Without a time limit in the snapshot itself, requests would still
 	// be sent to an upstream that terminated long ago, and fail.
 	r := NewRegistry(testFreshFor)
-	r.Hear(testStart, Announcement{Name: "e1", Incarnation: 1, Sequence: 1})
+	r.Apply(testStart, Announcement{Name: "e1", Incarnation: 1, Sequence: 1})
 	u := r.Snapshot(testStart).Upstreams[0]
 	if u.StateAt(testStart.Add(testFreshFor)) != Fresh {
 		t.Error("silent before the freshness limit")
@@ -110,11 +110,11 @@
 		}
 		first, second := NewRegistry(testFreshFor), NewRegistry(testFreshFor)
 		for _, a := range sent {
-			first.Hear(testStart, a)
+			first.Apply(testStart, a)
 		}
 		for _, a := range rapid.Permutation(sent).Draw(t, "permutation") {
-			second.Hear(testStart, a)
-			second.Hear(testStart, a)
+			second.Apply(testStart, a)
+			second.Apply(testStart, a)
 		}
 		a, b := first.Snapshot(testStart).Upstreams[0], second.Snapshot(testStart).Upstreams[0]
 		if a.Announcement.Incarnation != b.Announcement.Incarnation ||
@@ -130,7 +130,7 @@
 	// requests in flight.
 	r := NewRegistry(testFreshFor)
 	for i := uint64(1); i <= 3*maxPrefixes; i++ {
-		r.Hear(testStart, Announcement{
+		r.Apply(testStart, Announcement{
 			Name: "e1", Incarnation: 1, Sequence: i,
 			CacheEvents: []CacheEvent{{Sequence: i, PrefixHash: i, Tokens: 10}},
 		})
@@ -146,9 +146,9 @@
 
 func TestChangesSinceReturnsOnlyLaterChanges(t *testing.T) {
 	r := NewRegistry(testFreshFor)
-	r.Hear(testStart, Announcement{Name: "e1", Incarnation: 1, Sequence: 1})
+	r.Apply(testStart, Announcement{Name: "e1", Incarnation: 1, Sequence: 1})
 	_, seen := r.ChangesSince(testStart, 0)
-	r.Hear(testStart, Announcement{Name: "e2", Incarnation: 1, Sequence: 1})
+	r.Apply(testStart, Announcement{Name: "e2", Incarnation: 1, Sequence: 1})
 	changes, _ := r.ChangesSince(testStart.Add(time.Second), seen)
 	if len(changes) != 1 || changes[0].Announcement.Name != "e2" || changes[0].Age != time.Second {
 		t.Fatalf("changes: %+v", changes)
@@ -161,7 +161,7 @@
 	start := time.Unix(1_700_000_000, 0)
 	for name, known := range map[string]uint64{"earlier": 10, "same": 11, "later": 12} {
 		r := NewRegistry(time.Minute)
-		r.Hear(start, Announcement{Name: "e1", Incarnation: 1, Sequence: known})
+		r.Apply(start, Announcement{Name: "e1", Incarnation: 1, Sequence: known})
 		_, version := r.ChangesSince(start, 0)
 		changed := r.ApplyRelayed(start, Relayed{Announcement: Announcement{Name: "e1", Incarnation: 1, Sequence: 11, Leaving: true}})
 		found, _ := r.Find("e1")
