--- a/control/listing.go
+++ b/control/listing.go
@@ -46,7 +46,7 @@
 		all = append(all, UpstreamStatus{
 			Announcement: u.Announcement,
 			State:        stateName(u.StateAt(now)),
-			HeardAgoMs:   now.Sub(u.HeardAt).Milliseconds(),
+			HeardAgoMs:   now.Sub(u.AnnouncedAt).Milliseconds(),
 		})
 	}
 	return encode(all)
--- a/control/relay/relay_test.go
+++ b/control/relay/relay_test.go
@@ -156,8 +156,8 @@
 		if a.Incarnation > b.Incarnation || (a.Incarnation == b.Incarnation && a.Sequence > b.Sequence) {
 			t.Fatalf("%s: incarnation %d sequence %d was never said", a.Name, a.Incarnation, a.Sequence)
 		}
-		if a.Incarnation == b.Incarnation && u.HeardAt.After(real[a.Name].HeardAt) {
-			t.Fatalf("%s looks fresher by %v than it is", a.Name, u.HeardAt.Sub(real[a.Name].HeardAt))
+		if a.Incarnation == b.Incarnation && u.AnnouncedAt.After(real[a.Name].AnnouncedAt) {
+			t.Fatalf("%s looks fresher by %v than it is", a.Name, u.AnnouncedAt.Sub(real[a.Name].AnnouncedAt))
 		}
 		said := announcement(0, int(a.Sequence)).Load
 		if a.Load.Running != said.Running || a.Load.Waiting != said.Waiting || a.Load.LongPrefill != said.LongPrefill ||
--- a/dispatch/scheduler_test.go
+++ b/dispatch/scheduler_test.go
@@ -25,7 +25,7 @@
 				Targets: []string{"model"}, MemoryTokens: testMemory, Slots: 64,
 				Load: upstream.Load{PrefillRate: 20_000, DecodeRate: 50},
 			},
-			HeardAt: now, LoadAt: now, Prefixes: upstream.NewPrefixes(nil),
+			AnnouncedAt: now, LoadAt: now, Prefixes: upstream.NewPrefixes(nil),
 		}
 		for _, f := range change {
 			f(i, &list[i])
--- a/forward/address_test.go
+++ b/forward/address_test.go
@@ -14,7 +14,7 @@
 	announced := func(name, address string, ago time.Duration) upstream.Upstream {
 		return upstream.Upstream{
 			Announcement: upstream.Announcement{Name: name, Incarnation: 1, Address: address, Targets: []string{"model"}},
-			HeardAt:      time.Now().Add(-ago),
+			AnnouncedAt:  time.Now().Add(-ago),
 		}
 	}
 	snapshot := upstream.NewSnapshot(1, time.Now(), []upstream.Upstream{
--- a/forward/fleet.go
+++ b/forward/fleet.go
@@ -67,7 +67,7 @@
 	id := incarnationOf(a)
 	n := f.nodes[id]
 	if n == nil {
-		n = &node{incarnationID: id, address: a.Address, zone: a.AvailabilityZone, key: id.loadKey(), announced: u.HeardAt}
+		n = &node{incarnationID: id, address: a.Address, zone: a.AvailabilityZone, key: id.loadKey(), announced: u.AnnouncedAt}
 		if len(a.Targets) > 0 {
 			n.service = a.Targets[0]
 		}
--- a/forward/polling.go
+++ b/forward/polling.go
@@ -78,7 +78,7 @@
 	for _, service := range view.Tree.Forwarding.Engines() {
 		for _, u := range newestAt(view.Upstreams, service) {
 			n := f.node(u)
-			if !n.replaced && !n.failedSince(u.HeardAt) && isPoller(s.options.Process.Name, n, view.Instances) {
+			if !n.replaced && !n.failedSince(u.AnnouncedAt) && isPoller(s.options.Process.Name, n, view.Instances) {
 				found = append(found, n)
 			}
 		}
@@ -99,7 +99,7 @@
 	for _, at := range snapshot.Serving(service) {
 		u := &snapshot.Upstreams[at]
 		address := u.Announcement.Address
-		if other := newest[address]; other == nil || u.HeardAt.After(other.HeardAt) {
+		if other := newest[address]; other == nil || u.AnnouncedAt.After(other.AnnouncedAt) {
 			newest[address] = u
 		}
 	}
--- a/routing/node.go
+++ b/routing/node.go
@@ -161,7 +161,7 @@
 	n.state = u.State
 	n.prefixes = u.Prefixes
 	n.targets = a.Targets
-	n.heardAt = u.HeardAt
+	n.heardAt = u.AnnouncedAt
 	n.freshUntil = u.FreshUntil
 	if !u.LoadAt.After(n.report.at) {
 		return
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -26,7 +26,7 @@
 				Name: fmt.Sprintf("engine-%02d", i), Incarnation: 1, Targets: []string{"model"},
 				MemoryTokens: 400_000, Slots: 64, Load: l,
 			},
-			HeardAt: start, LoadAt: start, Prefixes: upstream.NewPrefixes(nil),
+			AnnouncedAt: start, LoadAt: start, Prefixes: upstream.NewPrefixes(nil),
 		}
 	}
 	table := NewTable()
--- a/upstream/registry.go
+++ b/upstream/registry.go
@@ -215,7 +215,7 @@
 func (rec *record) view(now time.Time, freshFor time.Duration) Upstream {
 	u := Upstream{
 		Announcement: rec.announcement,
-		HeardAt:      rec.receivedAt,
+		AnnouncedAt:  rec.receivedAt,
 		FreshUntil:   rec.receivedAt.Add(freshFor),
 		LoadAt:       rec.receivedAt.Add(-rec.announcement.Load.Age),
 		Prefixes:     rec.cache.view(),
--- a/upstream/snapshot.go
+++ b/upstream/snapshot.go
@@ -19,7 +19,7 @@
 type Upstream struct {
 	Announcement Announcement
 	State        State
-	HeardAt      time.Time // when an instance received the latest announcement; the relaying delay is subtracted
+	AnnouncedAt  time.Time // when an instance received the latest announcement; the relaying delay is subtracted
 	FreshUntil   time.Time // end of the freshness limit; no new work after it, however old the snapshot is
 	LoadAt       time.Time // when the reported load was measured
 	Prefixes     *Prefixes // known content of the prefix cache; never nil, read-only
