--- a/control/node.go
+++ b/control/node.go
@@ -122,7 +122,7 @@
 }
 
 // Leave takes an incarnation of an upstream out of service at the upstream's own request,
-// and returns when the leader has it; upstream.Unstated stands for the known incarnation.
+// and returns when the leader has it; upstream.UnknownIncarnation stands for the known incarnation.
 // An upstream that is not known here is either unknown everywhere, or will be received as
 // leaving from the instances that know it. A request for an earlier incarnation has no
 // effect.
@@ -133,7 +133,7 @@
 	if err != nil || !found {
 		return err
 	}
-	if incarnation > upstream.Unstated && incarnation < known.Incarnation {
+	if incarnation > upstream.UnknownIncarnation && incarnation < known.Incarnation {
 		return nil
 	}
 	if incarnation > known.Incarnation {
--- a/forward/dialect.go
+++ b/forward/dialect.go
@@ -87,5 +87,5 @@
 // EngineReport is an engine's answer to a poll.
 type EngineReport struct {
 	Pace        float64 // factor by which the engine is slower than usual
-	Incarnation uint64  // incarnation of the reporting engine, upstream.Unstated if not stated
+	Incarnation uint64  // incarnation of the reporting engine, upstream.UnknownIncarnation if not stated
 }
--- a/forward/fleet.go
+++ b/forward/fleet.go
@@ -94,7 +94,7 @@
 // must be held.
 func (f *fleet) retireEarlier(id incarnationID) {
 	for former, n := range f.nodes {
-		if former.name != id.name || former.incarnation >= id.incarnation || former.incarnation <= upstream.Unstated {
+		if former.name != id.name || former.incarnation >= id.incarnation || former.incarnation <= upstream.UnknownIncarnation {
 			continue
 		}
 		f.retire(n)
--- a/forward/polling.go
+++ b/forward/polling.go
@@ -168,7 +168,7 @@
 		f.notifyChanged()
 		return
 	}
-	if n.incarnation > upstream.Unstated && report.Incarnation > n.incarnation {
+	if n.incarnation > upstream.UnknownIncarnation && report.Incarnation > n.incarnation {
 		f.recordReplaced(n)
 		return
 	}
--- a/forward/restart_test.go
+++ b/forward/restart_test.go
@@ -54,7 +54,7 @@
 	// A heartbeat of a former incarnation arrives seconds late through another instance, or
 	// another program sends one without an incarnation. The streams of the current incarnation
 	// must continue.
-	for _, late := range []uint64{upstream.Unstated, 100} {
+	for _, late := range []uint64{upstream.UnknownIncarnation, 100} {
 		f := newFleet(&Options{Process: &settings.Process{}, Random: rand.New(rand.NewPCG(1, 2))}, noCalls)
 		f.mu.Lock()
 		present := f.node(announced(200))
@@ -73,7 +73,7 @@
 	f := newFleet(&Options{Process: &settings.Process{}, Random: rand.New(rand.NewPCG(1, 2))}, noCalls)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	first := f.node(announced(upstream.Unstated))
+	first := f.node(announced(upstream.UnknownIncarnation))
 	f.node(announced(200))
 	if first.replaced {
 		t.Error("the calls in flight are aborted")
--- a/upstream/announcement.go
+++ b/upstream/announcement.go
@@ -25,9 +25,9 @@
 	FencingChecked
 )
 
-// Unstated is the incarnation of an upstream that reports none, so that its restarts cannot be
-// distinguished.
-const Unstated = 1
+// UnknownIncarnation is the incarnation of an upstream that reports none, so that its restarts
+// cannot be distinguished.
+const UnknownIncarnation = 1
 
 // Announcement is an upstream's description of itself and the body of
 // POST /v1/announce. Incarnation increases with each start of the process, and
