--- a/control/search.go
+++ b/control/search.go
@@ -157,7 +157,7 @@
 		answer.sentAt = n.clock.Now()
 		asking := ctx
 		if request.Bare {
-			asking = rpc.WithDialBound(ctx, bound)
+			asking = rpc.WithDialTimeout(ctx, bound)
 		}
 		answer.response, answer.err = n.callSync(asking, target, &request)
 		if answer.err == nil {
--- a/rpc/dialbound.go
+++ b/rpc/dialbound.go
@@ -8,11 +8,11 @@
 
 type dialBoundKey struct{}
 
-// WithDialBound returns a context whose calls wait at most bound for a new connection. A
+// WithDialTimeout returns a context whose calls wait at most bound for a new connection. A
 // machine that is switched off does not answer connection attempts, and the operating
 // system retries an attempt only after one second. A machine that comes back shortly
 // after the first attempt would not be detected before that retry.
-func WithDialBound(ctx context.Context, bound time.Duration) context.Context {
+func WithDialTimeout(ctx context.Context, bound time.Duration) context.Context {
 	return context.WithValue(ctx, dialBoundKey{}, bound)
 }
 
