--- a/standin/announcer.go
+++ b/standin/announcer.go
@@ -16,29 +16,30 @@
 	"celeryport/upstream/wire"
 )
 
-// announceInterval is the time between two announcements to one instance.
+// announceInterval is the time between two announcements to the same instance.
 const announceInterval = time.Second
 
-// announceTimeout bounds one announcement.
+// announceTimeout limits the time for one announcement.
 const announceTimeout = 2 * time.Second
 
-// mostAddresses bounds the instances that are announced to. Answers name further
-// ones, so that an upstream whose configured instances all died is still heard.
-const mostAddresses = 12
+// maxAddresses limits the number of instances that receive announcements. Answers
+// name further instances, so that an upstream can still announce itself when all
+// its configured instances have failed.
+const maxAddresses = 12
 
-// forgetAfter is how many announcements in a row may fail before an instance
-// that was learned from an answer is forgotten.
-const forgetAfter = 30
+// maxFailures is the number of consecutive failed announcements after which an
+// instance that was learned from an answer is removed.
+const maxFailures = 30
 
-// announcer tells entry instances what the stand-in is and how it is loaded.
+// announcer sends announcements of the stand-in and its load to instances.
 type announcer struct {
 	dial       Dialer
 	key        string
 	log        logrus.FieldLogger
 	configured []string
 	describe   func(now time.Time) upstream.Announcement
-	gate       func(context.Context) // returns when announcements may leave
-	kick       chan struct{}
+	gate       func(context.Context) // blocks while announcements must not be sent
+	trigger    chan struct{}
 
 	mu       sync.Mutex
 	sequence uint64
@@ -46,10 +47,10 @@
 	calls    sync.WaitGroup
 }
 
-// announceTarget is one instance that is announced to.
+// announceTarget is one instance that receives announcements.
 type announceTarget struct {
-	busy     bool
-	failures int
+	busy     bool // an announcement is in flight
+	failures int  // consecutive failures
 }
 
 func newAnnouncer(o *Options, describe func(time.Time) upstream.Announcement, gate func(context.Context)) *announcer {
@@ -60,7 +61,7 @@
 		configured: o.Announce,
 		describe:   describe,
 		gate:       gate,
-		kick:       make(chan struct{}, 1),
+		trigger:    make(chan struct{}, 1),
 		targets:    map[string]*announceTarget{},
 	}
 	for _, address := range o.Announce {
@@ -69,7 +70,7 @@
 	return a
 }
 
-// run announces until ctx ends.
+// run sends announcements until ctx ends.
 func (a *announcer) run(ctx context.Context) {
 	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
@@ -81,22 +82,22 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-a.kick:
+		case <-a.trigger:
 		}
 	}
 }
 
-// now makes the next announcement at once.
-func (a *announcer) now() {
+// announceNow triggers the next announcement immediately.
+func (a *announcer) announceNow() {
 	select {
-	case a.kick <- struct{}{}:
+	case a.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// announceAll sends one announcement to every instance that is not still busy
-// with the last one. One that hangs must not hold up the others: they would
-// take the upstream for dead.
+// announceAll sends one announcement to each instance that has none in flight. An
+// instance that hangs must not delay the announcements to the others, which would
+// consider the upstream silent.
 func (a *announcer) announceAll(ctx context.Context) {
 	a.mu.Lock()
 	a.sequence++
@@ -124,13 +125,13 @@
 		go func() {
 			defer a.calls.Done()
 			further, err := a.announce(ctx, address, body)
-			a.note(address, further, err)
+			a.recordResult(address, further, err)
 		}()
 	}
 }
 
-// note records the outcome of one announcement.
-func (a *announcer) note(address string, further []string, err error) {
+// recordResult records the outcome of one announcement.
+func (a *announcer) recordResult(address string, further []string, err error) {
 	if err != nil {
 		eventAnnounceFailed.Log(a.log, logrus.Fields{"address": address, "error": err.Error()})
 	}
@@ -142,17 +143,17 @@
 	if err == nil {
 		target.failures = 0
 	}
-	if target.failures >= forgetAfter && !slices.Contains(a.configured, address) {
+	if target.failures >= maxFailures && !slices.Contains(a.configured, address) {
 		delete(a.targets, address)
 	}
 	for _, one := range further {
-		if a.targets[one] == nil && len(a.targets) < mostAddresses {
+		if a.targets[one] == nil && len(a.targets) < maxAddresses {
 			a.targets[one] = &announceTarget{}
 		}
 	}
 }
 
-// announce makes one call on a connection of its own. It is idempotent.
+// announce sends one announcement on a new connection. It is idempotent.
 func (a *announcer) announce(ctx context.Context, address string, body []byte) ([]string, error) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
@@ -169,7 +170,8 @@
 	return answer.Addresses, nil
 }
 
-// exchangeJSON makes one call whose answer is a small JSON value.
+// exchangeJSON makes one call on a new connection and decodes its JSON answer, which is limited to
+// maxSmallAnswer bytes.
 func exchangeJSON(ctx context.Context, dial Dialer, address string, request *fasthttp.Request, timeout time.Duration, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/standin/answer_writer.go
+++ b/standin/answer_writer.go
@@ -13,21 +13,21 @@
 	"celeryport/upstream/wire"
 )
 
-// mostTokensPerFrame bounds the text of one frame.
-const mostTokensPerFrame = 256
+// maxTokensPerFrame limits the text of one frame.
+const maxTokensPerFrame = 256
 
-// writeTimeout bounds one write to a reader that does not read.
+// writeTimeout limits one write, which blocks when the reader does not read.
 const writeTimeout = 5 * time.Second
 
-// corruption is mixed into the hash of the prompt to answer another text.
+// corruption is combined with the hash of the prompt to generate a wrong answer.
 const corruption = 0x5eed
 
-// answerWriter sends one stream's answer to one reader as frames.
+// answerWriter sends the answer of one stream to one reader as frames.
 type answerWriter struct {
 	scheduler *scheduler
 	stream    *stream
 	reader    uint64
-	attempt   uint32 // of this reader
+	attempt   uint32 // attempt of the reader's request
 	conn      net.Conn
 	heartbeat time.Duration
 	faults    *Faults
@@ -35,12 +35,12 @@
 	ctx       context.Context
 
 	to     *bufio.Writer
-	sent   int // answer tokens sent, from offset 0
+	sent   int // number of answer tokens sent, counted from offset 0
 	digest *xxhash.Digest
 	length int
 }
 
-// prepare accounts for the part of the answer that the reader has already.
+// prepare sets the state for a reader that already has the first offset tokens of the answer.
 func (w *answerWriter) prepare(offset int) {
 	w.sent = offset
 	w.digest = xxhash.New()
@@ -49,8 +49,8 @@
 	w.length = len(before)
 }
 
-// write sends the answer until it is complete or ended, or until the reader is
-// lost or replaced.
+// write sends the answer until it is complete or the stream has ended, or until the
+// reader is disconnected or replaced.
 func (w *answerWriter) write(to *bufio.Writer) {
 	w.to = to
 	heartbeat := time.NewTimer(w.heartbeat)
@@ -64,10 +64,10 @@
 		if done, err := w.step(&v); done {
 			return
 		} else if err != nil {
-			w.lost()
+			w.detachReader()
 			return
 		}
-		if w.fault == FaultSilent && w.sent >= w.half() {
+		if w.fault == FaultSilent && w.sent >= w.midpoint() {
 			w.waitForEnd()
 			return
 		}
@@ -76,23 +76,23 @@
 		case <-v.changed:
 		case <-heartbeat.C:
 			if w.send(w.frame(&wire.Frame{Heartbeat: true})) != nil {
-				w.lost()
+				w.detachReader()
 				return
 			}
 		}
 	}
 }
 
-// step sends what is ready and reports whether the answer is over.
+// step sends the tokens that are ready and reports whether the answer has ended.
 func (w *answerWriter) step(v *view) (done bool, err error) {
 	for w.sent < v.ready {
-		if w.cutsShort() {
+		if w.endEarly() {
 			return true, nil
 		}
 		if err := w.sendText(v); err != nil {
 			return false, err
 		}
-		if w.fault == FaultSilent && w.sent >= w.half() {
+		if w.fault == FaultSilent && w.sent >= w.midpoint() {
 			return false, nil
 		}
 	}
@@ -105,9 +105,9 @@
 	return false, nil
 }
 
-// cutsShort carries out the faults that end an answer in its middle.
-func (w *answerWriter) cutsShort() bool {
-	if w.sent < w.half() {
+// endEarly applies the faults that end an answer halfway and reports whether one did.
+func (w *answerWriter) endEarly() bool {
+	if w.sent < w.midpoint() {
 		return false
 	}
 	switch w.fault {
@@ -117,17 +117,17 @@
 	default:
 		return false
 	}
-	w.lost()
+	w.detachReader()
 	return true
 }
 
-// half is where the faults strike, at least one token before the end.
-func (w *answerWriter) half() int { return w.stream.maxTokens / 2 }
+// midpoint is the offset at which faults take effect, at least one token before the end.
+func (w *answerWriter) midpoint() int { return w.stream.maxTokens / 2 }
 
 func (w *answerWriter) sendText(v *view) error {
-	to := min(v.ready, w.sent+mostTokensPerFrame)
+	to := min(v.ready, w.sent+maxTokensPerFrame)
 	if w.faultsHalfway() {
-		to = min(to, max(w.sent+1, w.half()))
+		to = min(to, max(w.sent+1, w.midpoint()))
 	}
 	text := w.stream.text(w.sent, to)
 	_, _ = w.digest.Write(text)
@@ -150,12 +150,12 @@
 	return w.fault == FaultCloseShort || w.fault == FaultEndShort || w.fault == FaultSilent
 }
 
-// sendFinal ends the answer. The stream counts as delivered only when the frame
-// was written.
+// sendFinal sends the final frame. The stream counts as delivered only after the
+// frame was written.
 func (w *answerWriter) sendFinal() error {
 	final := w.frame(&wire.Frame{Final: true, Length: w.length, Checksum: w.digest.Sum64()})
 	if err := w.send(final); err != nil {
-		w.lost()
+		w.detachReader()
 		return nil
 	}
 	if w.fault == FaultTwice {
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// sendAgain repeats the whole answer after its end.
+// sendAgain sends the whole answer once more after its final frame.
 func (w *answerWriter) sendAgain(final *wire.Frame) error {
 	whole := string(w.stream.text(0, w.sent))
 	again := w.frame(&wire.Frame{Text: whole, Tokens: w.sent})
@@ -176,7 +176,7 @@
 	return w.send(final)
 }
 
-// frame labels a frame.
+// frame sets the request, attempt and offset of a frame.
 func (w *answerWriter) frame(f *wire.Frame) *wire.Frame {
 	f.Request = w.stream.request
 	f.Attempt = w.attempt
@@ -192,7 +192,7 @@
 	if err != nil {
 		return err
 	}
-	// A reader that stopped reading would hold this writer for ever.
+	// Without a deadline, a reader that has stopped reading would block this writer for ever.
 	_ = w.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := w.to.Write(append(line, '\n')); err != nil {
 		return err
@@ -200,13 +200,13 @@
 	return w.to.Flush()
 }
 
-// lost tells the scheduler that this reader is gone.
-func (w *answerWriter) lost() {
+// detachReader informs the scheduler that the reader has disconnected.
+func (w *answerWriter) detachReader() {
 	w.scheduler.detach(time.Now(), w.stream, w.reader)
 }
 
-// waitForEnd keeps the connection open and silent until the stream ends or
-// another reader takes over.
+// waitForEnd keeps the connection open without sending until the stream ends or
+// another reader takes it over.
 func (w *answerWriter) waitForEnd() {
 	for {
 		v := w.scheduler.view(w.stream, w.reader)
--- a/standin/control_handlers.go
+++ b/standin/control_handlers.go
@@ -11,7 +11,7 @@
 	"celeryport/upstream/wire"
 )
 
-// serveCancel ends a request, or everything of an owner.
+// serveCancel cancels one request, or all requests of an owner.
 func (e *Engine) serveCancel(ctx *fasthttp.RequestCtx) {
 	var r wire.CancelRequest
 	if !decode(ctx, &r) {
@@ -24,7 +24,7 @@
 	respondJSON(ctx, &wire.CancelResponse{Cancelled: e.scheduler.cancel(time.Now(), &r)})
 }
 
-// serveReserve reserves, renews or frees a part of a span.
+// serveReserve creates, renews or releases the reservation of one part of a span.
 func (e *Engine) serveReserve(ctx *fasthttp.RequestCtx) {
 	var r wire.ReserveRequest
 	if !decode(ctx, &r) {
@@ -42,12 +42,12 @@
 	respondJSON(ctx, &response)
 }
 
-// serveHoldings lists what holds memory.
+// serveHoldings answers with the holdings of the engine.
 func (e *Engine) serveHoldings(ctx *fasthttp.RequestCtx) {
 	respondJSON(ctx, e.Holdings())
 }
 
-// Holdings returns what holds memory on the engine.
+// Holdings returns the requests, reservations and exports that hold memory on the engine.
 func (e *Engine) Holdings() *wire.Holdings {
 	return &wire.Holdings{
 		Incarnation: e.options.Incarnation,
@@ -55,14 +55,14 @@
 	}
 }
 
-// has reports whether the request is on the engine.
+// has reports whether the engine has a stream for the request.
 func (s *scheduler) has(request string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.streams[request] != nil
 }
 
-// holds reports whether the id holds memory.
+// holds reports whether the job or reservation with the id holds memory.
 func (s *scheduler) holds(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,8 +74,8 @@
 	return false
 }
 
-// holdings translates what the model holds. A request is named by its present
-// attempt, which a resume may have changed.
+// holdings converts the holdings of the model to the wire format. A request is
+// listed with its current attempt, which a resume may have changed.
 func (s *scheduler) holdings(now time.Time) []wire.Holding {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/control_test.go
+++ b/standin/control_test.go
@@ -15,8 +15,9 @@
 	"celeryport/verdict"
 )
 
-// A prefix moves to another engine under a lease. If its owner dies before the
-// fetch is over, the memory of the export would be gone for good.
+// A prefix is transferred to another engine under a lease. Without the lease, the
+// memory of the export would be lost for good if its owner crashed before the
+// transfer was complete.
 func TestEngineExportsAndImportsKV(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		b := newBench(nil)
@@ -31,7 +32,7 @@
 		var exported wire.KVExportResponse
 		b.network.post(t, "second", wire.PathKVExport, export, &exported)
 		if exported.Granted {
-			t.Error("an engine exports what it does not have")
+			t.Error("an engine exported a prefix that it has not cached")
 		}
 		b.network.post(t, "engine", wire.PathKVExport, export, &exported)
 		if held := b.engine.Holdings().Held; !exported.Granted || exported.Tokens != tokens || len(held) != 1 || held[0].Kind != "export" {
@@ -50,8 +51,8 @@
 	})
 }
 
-// Two instances reserve parts at the same time, one dies, and one renews late.
-// Memory that nobody renews must be free, and what is renewed must stay.
+// Two instances reserve memory at the same time; one crashes and one renews late.
+// A reservation that is not renewed must expire, and one that is renewed must stay.
 func TestEngineReservationsAreLeased(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		b := newBench(nil)
@@ -72,14 +73,15 @@
 		step(2*time.Second, "a", "one/1", 250_000, true, 150_000) // renewed
 		step(2*time.Second, "b", "two/1", 250_000, false, 150_000)
 		step(0, "a", "two/1", 0, false, 150_000)                  // not its owner
-		step(2*time.Second, "b", "two/1", 250_000, true, 150_000) // the first lapsed
+		step(2*time.Second, "b", "two/1", 250_000, true, 150_000) // the first reservation expired
 		step(0, "b", "two/1", 0, true, 400_000)
 	})
 }
 
-// An instance dies; its caller's work is taken over by another one, and then the
-// sweep ends what the dead one left behind. The work taken over must go on.
-func TestEngineSweepSparesWhatWasTakenOver(t *testing.T) {
+// An instance crashes. Another instance takes over one of its requests, and then all
+// remaining work of the crashed instance is cancelled. The request that was taken
+// over must continue.
+func TestEngineCancelOfOwnerKeepsWorkTakenOver(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		b := newBench(nil)
 		defer b.engine.Close()
@@ -110,7 +112,7 @@
 	})
 }
 
-// lockedBuffer is a journal in memory.
+// lockedBuffer is an in-memory journal.
 type lockedBuffer struct {
 	mu sync.Mutex
 	bytes.Buffer
@@ -122,7 +124,7 @@
 	return b.Buffer.Write(p)
 }
 
-// endings returns how each request ended according to the journal.
+// endings returns the ending of each request according to the journal.
 func (b *lockedBuffer) endings(t *testing.T) map[string]standin.Ending {
 	t.Helper()
 	b.mu.Lock()
@@ -144,8 +146,8 @@
 	return ended
 }
 
-// The journal is what reports are compared with: a line that lacks, or two for
-// one execution, would make a true report look false.
+// Reports are verified by comparison with the journal. A missing entry, or two entries
+// for one execution, would make a correct report look wrong.
 func TestEngineJournalsEachRequestOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		journal := &lockedBuffer{}
@@ -183,8 +185,8 @@
 	})
 }
 
-// An instance and an engine disagree on the time that is left, or the engine is
-// frozen when it runs out. Work past its deadline must not hold memory.
+// The deadline of a request passes while the engine works on it and its instance does
+// not cancel it. Work past its deadline must not hold memory.
 func TestEngineDropsWorkAtItsDeadline(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		b := newBench(nil)
@@ -202,7 +204,7 @@
 	})
 }
 
-// Faults are switched over HTTP by those who hold the key only.
+// Faults can be enabled over HTTP with the key of the stand-in; an unknown fault is refused.
 func TestFaultsAreSwitchedOverHTTP(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		b := newBench(nil)
--- a/standin/counts.go
+++ b/standin/counter.go
@@ -7,7 +7,7 @@
 	"celeryport/standin/answer"
 )
 
-// counter counts executions and, with deduplication, keeps the first answer of
+// counter counts executions. With deduplication it also stores the first answer of
 // each key.
 type counter struct {
 	dedupe bool
@@ -27,8 +27,9 @@
 	}
 }
 
-// execute counts the call and fills its answer. It reports false, with the first
-// answer, if the key was executed before and is not to be executed again.
+// execute counts the call and sets the execution number of its answer. With
+// deduplication, a repeated key is not counted; execute then returns the first
+// answer of the key and false.
 func (c *counter) execute(a *answer.Call) (*answer.Call, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,6 +1,6 @@
-// Package standin holds the project's own small upstreams: a model engine that
-// answers prompts by a known function, timed by package enginemodel, and a plain
-// service that counts what it executes. They speak the protocol of package wire,
-// announce themselves like real upstreams, and have switches for the faults that
-// real ones show. Both run as processes and as libraries inside tests.
+// Package standin implements small upstreams for tests and trials: a model engine
+// whose answers are a known function of the prompt, with the timing of package
+// enginemodel, and a plain service that counts the calls it executes. They use the
+// protocol of package wire, announce themselves like real upstreams, and can inject
+// the faults of real upstreams. Both run as processes and inside tests.
 package standin
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -21,12 +21,12 @@
 	spans     spanChecker
 }
 
-// NewEngine returns an engine that does nothing before Serve.
+// NewEngine returns an engine, which starts with Serve.
 func NewEngine(o EngineOptions) *Engine {
 	now := time.Now()
 	o = o.withDefaults(now)
 	e := &Engine{options: o, orders: newOrders(&o)}
-	e.scheduler = newScheduler(&o, now, e.noteEnd, e.noteReaderLost)
+	e.scheduler = newScheduler(&o, now, e.journalStream, e.logReaderLost)
 	e.host = newHost(o.Options, e.handle, e.describe, func(frozen bool) {
 		e.scheduler.freeze(time.Now(), frozen)
 	})
@@ -34,14 +34,15 @@
 	return e
 }
 
-// Serve answers on the listener until Shutdown or Close.
+// Serve accepts calls on the listener until Shutdown or Close.
 func (e *Engine) Serve(ln net.Listener) error { return e.serve(ln, e.scheduler.run) }
 
-// Shutdown announces that the engine leaves, refuses new work, waits for what
-// runs and ends. When ctx ends earlier, the rest is cut off.
+// Shutdown announces that the engine is leaving, refuses new work, waits for the
+// running requests and stops. If ctx ends earlier, the remaining requests are
+// aborted.
 func (e *Engine) Shutdown(ctx context.Context) error { return e.shutdown(ctx, e.scheduler.busy) }
 
-// Close ends at once, as a killed process would.
+// Close stops the engine immediately, like a killed process.
 func (e *Engine) Close() { e.close() }
 
 // Name returns the announced name.
@@ -50,7 +51,7 @@
 // Incarnation returns the announced incarnation.
 func (e *Engine) Incarnation() uint64 { return e.options.Incarnation }
 
-// describe fills what is the engine's own in an announcement.
+// describe returns an announcement with the fields that are specific to an engine.
 func (e *Engine) describe(now time.Time) upstream.Announcement {
 	load, events := e.scheduler.report(now)
 	state := e.orders.read(e.options.Incarnation)
@@ -68,7 +69,7 @@
 	}
 }
 
-// handle serves the paths of package wire.
+// handle dispatches the paths of package wire.
 func (e *Engine) handle(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case wire.PathGenerate:
@@ -92,8 +93,8 @@
 	}
 }
 
-// noteEnd writes the journal.
-func (e *Engine) noteEnd(s *stream, how Ending) {
+// journalStream writes the beginning or the end of a stream to the journal.
+func (e *Engine) journalStream(s *stream, how Ending) {
 	if how != EndedWhole && how != Begun {
 		eventCancelled.Log(e.options.Log, logrus.Fields{"request": s.request, "attempt": s.attempt, "ended": how})
 	}
@@ -110,7 +111,7 @@
 	})
 }
 
-// noteReaderLost is told when the connection of an answer broke.
-func (e *Engine) noteReaderLost(s *stream) {
+// logReaderLost logs that the connection of an answer broke.
+func (e *Engine) logReaderLost(s *stream) {
 	eventReaderLost.Log(e.options.Log, logrus.Fields{"request": s.request, "attempt": s.attempt})
 }
--- a/standin/engine_leave_test.go
+++ b/standin/engine_leave_test.go
@@ -14,8 +14,9 @@
 	"celeryport/verdict"
 )
 
-// An engine restarts at the same address. A call that was meant for the old
-// process would run on the new one while its instance counts it as lost.
+// An engine restarts at the same address. Without the check of the incarnation, a
+// call to the old process would run on the new one although its instance counts it
+// as lost.
 func TestEngineRefusesCallsForAnotherIncarnation(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		b := newBench(nil)
@@ -31,8 +32,8 @@
 	})
 }
 
-// Engines that lose their place announce it; what they answer meanwhile must be
-// whole, and new work must go elsewhere.
+// An engine that shuts down announces that it is leaving. Answers in progress must be
+// completed, and new work must be refused.
 func TestEngineLeavesGracefully(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		b := newBench(func(o *standin.EngineOptions) {
@@ -45,7 +46,7 @@
 		defer second.server.Shutdown()
 		time.Sleep(3500 * time.Millisecond)
 		if a, count := second.last(); count < 2 || a.Address != "engine" || a.Leaving || a.MemoryTokens != 400_000 {
-			t.Fatalf("an instance that an answer named heard %d: %+v", count, a)
+			t.Fatalf("the instance named in an answer received %d announcements, last %+v", count, a)
 		}
 		whole := make(chan error, 1)
 		go func() {
@@ -57,13 +58,13 @@
 		go func() { left <- b.engine.Shutdown(context.Background()) }()
 		time.Sleep(time.Second)
 		if a, _ := first.last(); !a.Leaving {
-			t.Error("it does not announce that it leaves")
+			t.Error("the engine does not announce that it is leaving")
 		}
 		if _, err := b.read(client.NewReceiver("r2"), b.call("r2", 1000, 5)); err == nil || verdict.From(err).Verdict != verdict.NotRun {
 			t.Errorf("new work while leaving: %v", err)
 		}
 		if err := <-whole; err != nil {
-			t.Errorf("the work under way: %v", err)
+			t.Errorf("the running work: %v", err)
 		}
 		if err := <-left; err != nil {
 			t.Error(err)
@@ -86,7 +87,7 @@
 		hash, tokens := request.Prefix(prompt(200_000))
 		entry.mu.Lock()
 		defer entry.mu.Unlock()
-		for _, a := range entry.heard {
+		for _, a := range entry.received {
 			for _, e := range a.CacheEvents {
 				if e.PrefixHash == hash && e.Tokens == tokens {
 					return
--- a/standin/engine_resume_test.go
+++ b/standin/engine_resume_test.go
@@ -12,18 +12,18 @@
 	"celeryport/verdict"
 )
 
-// A connection goes silent or breaks while the engine answers; the entry
-// instance dials again and asks for the rest. A caller would otherwise see the
-// text doubled, with a hole, or would wait for a second prefill.
+// A connection breaks or stops delivering data during an answer; the instance dials
+// again and asks for the rest. If the resume went wrong, the caller would get
+// repeated or missing text, or would wait for a second prefill.
 func TestEngineResumesByOffset(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		fault standin.Fault
 		pause time.Duration
-		gone  bool // the engine has given the stream up and must not run it again
+		gone  bool // the engine has ended the stream and must not run the request again
 	}{
 		{"broken", standin.FaultCloseShort, 0, false},
-		{"silent while new connections work", standin.FaultSilent, 0, false},
+		{"silent, but new connections work", standin.FaultSilent, 0, false},
 		{"after the resume window the stream is gone", standin.FaultCloseShort, time.Minute, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 				call := b.call("r1", 100_000, 400)
 				begun, err := b.read(r, call)
 				if err == nil || r.Offset() == 0 {
-					t.Fatalf("the fault did not strike: offset %d, %v", r.Offset(), err)
+					t.Fatalf("the fault had no effect: offset %d, %v", r.Offset(), err)
 				}
 				time.Sleep(test.pause)
 				call.Resume, call.Offset = true, r.Offset()
@@ -43,7 +43,7 @@
 				rest, err := b.read(r, call)
 				if test.gone {
 					if verdict.From(err).Verdict != verdict.NotRun {
-						t.Fatalf("a lost stream was not refused: %v", err)
+						t.Fatalf("the resume of an ended stream was not refused: %v", err)
 					}
 					return
 				}
@@ -58,8 +58,8 @@
 	}
 }
 
-// An entry instance dies while an engine works for it. Nobody cancels, and the
-// memory would be gone for good.
+// An instance crashes while an engine works for it and therefore never cancels the
+// work. Without the resume window, its memory would be lost for good.
 func TestEngineMemoryComesBackAfterItsReaderDied(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		b := newBench(nil)
@@ -67,7 +67,7 @@
 		go b.read(client.NewReceiver("r1"), b.call("r1", 300_000, 50))
 		time.Sleep(time.Second)
 		if len(b.engine.Holdings().Held) != 1 {
-			t.Fatal("the request does not run")
+			t.Fatal("the request is not running")
 		}
 		b.network.cut()
 		time.Sleep(4*standin.DefaultHeartbeat + standin.DefaultResumeWindow)
@@ -91,7 +91,7 @@
 			cancel wire.CancelRequest
 			want   int
 		}{
-			{wire.CancelRequest{Request: "r1", Attempt: 0, Owner: owner}, 0}, // an earlier attempt, come late
+			{wire.CancelRequest{Request: "r1", Attempt: 0, Owner: owner}, 0}, // delayed cancel of an earlier attempt
 			{wire.CancelRequest{Request: "r1", Attempt: 1, Owner: "entry-2/1"}, 0},
 			{wire.CancelRequest{Request: "r1", Attempt: 1, Owner: owner}, 1},
 			{wire.CancelRequest{Request: "r1", Attempt: 1, Owner: owner}, 0},
@@ -102,7 +102,7 @@
 			}
 		}
 		if err := <-ended; err == nil {
-			t.Error("a cancelled answer looks whole")
+			t.Error("a cancelled answer was accepted as complete")
 		}
 		if held := b.engine.Holdings().Held; len(held) != 0 {
 			t.Errorf("still held: %+v", held)
@@ -110,10 +110,10 @@
 	})
 }
 
-// The connection breaks when the last frame is on its way: the engine believes
-// that the answer was read, the instance does not have it. If the engine had
-// forgotten it, the caller would lose an answer that is complete, or the prompt
-// would run a second time.
+// The connection breaks while the final frame is in transit: the engine considers the
+// answer delivered, but the instance does not have it. If the engine had already
+// discarded the answer, the caller would lose a complete answer, or the prompt would
+// run a second time.
 func TestEngineKeepsDeliveredAnswers(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -143,11 +143,11 @@
 					t.Errorf("kept %v: %q, %v", kept, text, err)
 				}
 				if took := time.Since(start); took > time.Second {
-					t.Errorf("it ran again for %v", took)
+					t.Errorf("the request ran again for %v", took)
 				}
 				time.Sleep(2 * standin.DefaultResumeWindow)
 				if test.kept && journal.endings(t)["r1"] != standin.EndedWhole {
-					t.Error("the journal has no whole answer")
+					t.Error("the journal does not record a complete answer")
 				}
 			})
 		})
--- a/standin/engine_span_test.go
+++ b/standin/engine_span_test.go
@@ -11,9 +11,9 @@
 	"celeryport/verdict"
 )
 
-// A prompt is more than twice as large as an engine's memory. It runs only while
-// every part holds its memory; if one part dies, the answer must not go on as if
-// nothing had happened.
+// A prompt needs more than twice the memory of an engine and is spread over three. It
+// may run only while every part holds its memory; if the engine of one part crashes,
+// the answer must end with an error.
 func TestEngineLeadsSpan(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -23,7 +23,7 @@
 	owner       = "entry-1/7"
 )
 
-// bench is one engine with the real client in front of it.
+// bench is one engine and the real client that calls it.
 type bench struct {
 	network *network
 	engine  *standin.Engine
@@ -65,7 +65,7 @@
 	}
 }
 
-// read reads one stream of the answer to its end.
+// read reads one answer stream to its end and returns its text.
 func (b *bench) read(r *client.Receiver, call *client.GenerateCall) (string, error) {
 	r.Expect(call.Attempt, call.Offset)
 	s, failed := b.client.Generate(context.Background(), call, r)
@@ -104,8 +104,8 @@
 	})
 }
 
-// What each fault of an engine looks like to the client that guards callers: a
-// wrong answer must never pass as whole, and "not run" must be true.
+// The client must detect each fault of an engine: it must never accept a wrong answer
+// as complete, nor report "not run" for a request that ran.
 func TestEngineFaultsAsTheClientSeesThem(t *testing.T) {
 	for _, test := range []struct {
 		fault   standin.Fault
--- a/standin/executions.go
+++ b/standin/executions.go
@@ -10,26 +10,27 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEntry bounds one line of a journal in bytes.
+// maxEntry limits one line of a journal in bytes.
 const maxEntry = 1 << 20
 
-// Execution is one key and how often its work began, on any upstream.
+// Execution counts how often the work of one key was started on any upstream.
 type Execution struct {
 	Key       string
 	Count     int
-	Upstreams []string // one for each time
+	Upstreams []string // one entry for each start
 }
 
-// Executions counts beginnings by Idempotency-Key over journals of any number of
-// upstreams, killed ones included.
+// Executions counts the started executions of each Idempotency-Key in the journals
+// of any number of upstreams, including killed ones.
 type Executions struct {
 	byKey map[string]*Execution
 }
 
-// NewExecutions returns a count of nothing.
+// NewExecutions returns an empty count.
 func NewExecutions() *Executions { return &Executions{byKey: map[string]*Execution{}} }
 
-// Read adds one journal. Its last line may be cut, as a killed process leaves it.
+// Read adds the entries of one journal. The last line may be truncated, as a killed process can
+// leave it.
 func (x *Executions) Read(journal io.Reader) error {
 	lines := bufio.NewScanner(journal)
 	lines.Buffer(nil, maxEntry)
@@ -61,10 +62,10 @@
 	one.Upstreams = append(one.Upstreams, entry.Upstream)
 }
 
-// Keys returns how many keys began.
+// Keys returns the number of keys whose work was started.
 func (x *Executions) Keys() int { return len(x.byKey) }
 
-// Doubled returns the keys that began more than once.
+// Doubled returns the keys whose work was started more than once, ordered by key.
 func (x *Executions) Doubled() []Execution {
 	var doubled []Execution
 	for _, one := range x.byKey {
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -6,21 +6,21 @@
 	"sync"
 )
 
-// Faults holds the faults that are switched on.
+// Faults holds the enabled faults of a stand-in.
 type Faults struct {
 	mu      sync.Mutex
 	armed   []FaultSwitch
-	changed chan struct{} // closed by Clear: ends what a fault holds back
+	changed chan struct{} // closed by Clear, which resumes the calls blocked by a fault
 	frozen  bool
-	freeze  func(frozen bool) // told of every change, may be nil
+	freeze  func(frozen bool) // called on every change of frozen; may be nil
 }
 
 func newFaults(freeze func(bool)) *Faults {
 	return &Faults{changed: make(chan struct{}), freeze: freeze}
 }
 
-// Set switches a fault on. Several may be on at a time; each request meets the
-// oldest one.
+// Set enables a fault. Several faults may be enabled at a time; each request is
+// subject to the one that was enabled first.
 func (f *Faults) Set(s FaultSwitch) error {
 	if !s.Fault.known() {
 		return ErrUnknownFault
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// Clear switches all faults off and lets go what they hold back.
+// Clear disables all faults and resumes the calls blocked by them.
 func (f *Faults) Clear() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,7 +45,7 @@
 	f.changed = make(chan struct{})
 }
 
-// List returns the faults that are on.
+// List returns the enabled faults.
 func (f *Faults) List() []FaultSwitch {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,7 +66,7 @@
 	}
 }
 
-// take returns the fault that the next request meets; its zero value is none.
+// take returns the fault for the next request and counts it as used. The zero value means no fault.
 func (f *Faults) take() FaultSwitch {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,7 +82,7 @@
 	return s
 }
 
-// untilCleared waits until the faults are cleared or ctx ends.
+// untilCleared blocks until the faults are cleared or ctx ends.
 func (f *Faults) untilCleared(ctx context.Context) {
 	f.mu.Lock()
 	changed := f.changed
@@ -93,7 +93,7 @@
 	}
 }
 
-// whileFrozen returns once the stand-in is not frozen.
+// whileFrozen blocks while the stand-in is frozen and ctx has not ended.
 func (f *Faults) whileFrozen(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.mu.Lock()
--- a/standin/faults_handler.go
+++ b/standin/faults_handler.go
@@ -5,10 +5,11 @@
 	"github.com/valyala/fasthttp"
 )
 
-// pathFaults is where tests switch faults: POST FaultSwitch, DELETE, GET.
+// pathFaults is the path for fault injection: POST FaultSwitch enables a fault, DELETE clears all
+// faults, GET lists them.
 const pathFaults = "/faults"
 
-// Faults returns the switches of the stand-in.
+// Faults returns the faults of the stand-in, for enabling and clearing them.
 func (h *host) Faults() *Faults { return h.faults }
 
 func (h *host) serveFaults(ctx *fasthttp.RequestCtx) {
--- a/standin/frames_test.go
+++ b/standin/frames_test.go
@@ -14,7 +14,7 @@
 	"celeryport/upstream/wire"
 )
 
-// frames sends a prompt and returns the frames of its answer as they come.
+// frames sends a prompt and returns the frames of the answer unchecked.
 func (b *bench) frames(t *testing.T, id string, tokens, output int) []wire.Frame {
 	t.Helper()
 	conn, err := b.network.dial(context.Background(), "engine")
@@ -50,8 +50,9 @@
 	return frames
 }
 
-// A text is damaged on its way. The checksum at the end shows it when the caller
-// has already read the damaged text; that of each frame shows it before.
+// A text is corrupted in transit. The checksum of the final frame reveals that only
+// after the caller has read the corrupted text; the checksum of each frame reveals it
+// before.
 func TestEngineSendsChecksumWithEveryText(t *testing.T) {
 	for _, test := range []struct {
 		fault standin.Fault
@@ -72,7 +73,7 @@
 				texts++
 				digest.WriteString(frame.Text)
 				if right := frame.Checksum == digest.Sum64(); right != test.right {
-					t.Fatalf("%q: checksum of the text at offset %d right: %v", test.fault, frame.Offset, right)
+					t.Fatalf("%q: checksum of the text at offset %d matches: %v", test.fault, frame.Offset, right)
 				}
 			}
 			if texts < 2 {
--- a/standin/fuzz_test.go
+++ b/standin/fuzz_test.go
@@ -16,8 +16,8 @@
 	"celeryport/upstream/wire"
 )
 
-// Whatever body and headers come, the engine neither panics nor lies: what it
-// marks as refused is not on it, and what it takes holds no more than it has.
+// For any body and headers the engine must not panic, must not run a request that it
+// marks as refused, and must not hold more memory than it has.
 func FuzzGenerateBody(f *testing.F) {
 	f.Add([]byte(`{"model":"m","prompt":"bolt","max_tokens":4}`), "r1", "1", "0", "1000")
 	f.Add([]byte(`{"model":"m","prompt":"bolt","max_tokens":4}`), "r1", "1", "4", "0")
@@ -32,7 +32,7 @@
 		})
 		defer e.Close()
 		var ctx fasthttp.RequestCtx
-		ctx.Init2(fasthttputil.NewPipeConns().Conn1(), silentLogger{}, false)
+		ctx.Init2(fasthttputil.NewPipeConns().Conn1(), discardLogger{}, false)
 		h := &ctx.Request.Header
 		h.SetMethod(fasthttp.MethodPost)
 		h.Set(wire.HeaderRequestID, id)
@@ -58,7 +58,7 @@
 	})
 }
 
-// Frames that were cut, doubled or made up must not pass as a whole answer.
+// Truncated, repeated or forged frames must not be accepted as a complete answer.
 func FuzzFrames(f *testing.F) {
 	var whole bytes.Buffer
 	text := []byte("a bolt of cloth")
@@ -93,7 +93,7 @@
 			shown = append(shown, part...)
 			if r.Complete() {
 				if frame.Request != "r1" || frame.Length != len(shown) || frame.Checksum != xxhash.Sum64(shown) {
-					t.Fatalf("%q passed as whole", shown)
+					t.Fatalf("%q was accepted as complete", shown)
 				}
 				return
 			}
--- a/standin/generate.go
+++ b/standin/generate.go
@@ -13,10 +13,10 @@
 	"celeryport/upstream/wire"
 )
 
-// mostAnswerTokens bounds one answer.
-const mostAnswerTokens = 1 << 20
+// maxAnswerTokens limits the length of one answer.
+const maxAnswerTokens = 1 << 20
 
-// serveGenerate starts or resumes a prompt and streams its answer.
+// serveGenerate starts a prompt or resumes its stream, and streams the answer.
 func (e *Engine) serveGenerate(ctx *fasthttp.RequestCtx) {
 	c, ok := parseCall(&ctx.Request.Header)
 	if !ok || c.request == "" {
@@ -27,7 +27,7 @@
 	if !decode(ctx, &body) {
 		return
 	}
-	if status, reason := e.objection(&c, &body); reason != "" {
+	if status, reason := e.refusalReason(&c, &body); reason != "" {
 		e.refuseGenerate(ctx, &c, &body, status, reason)
 		return
 	}
@@ -39,10 +39,10 @@
 	e.run(ctx, &c, &body, fault.Fault)
 }
 
-// objection says why the request cannot be taken at all.
-func (e *Engine) objection(c *call, body *wire.GenerateRequest) (status int, reason string) {
+// refusalReason returns why the request must be refused without trying it; an empty reason accepts it.
+func (e *Engine) refusalReason(c *call, body *wire.GenerateRequest) (status int, reason string) {
 	switch {
-	case body.Prompt == "" || body.MaxTokens <= 0 || body.MaxTokens > mostAnswerTokens || c.offset > body.MaxTokens:
+	case body.Prompt == "" || body.MaxTokens <= 0 || body.MaxTokens > maxAnswerTokens || c.offset > body.MaxTokens:
 		return fasthttp.StatusBadRequest, "prompt, max_tokens or offset out of range"
 	case !slices.Contains(e.orders.read(0).Models, body.Model):
 		return fasthttp.StatusNotFound, "model is not loaded"
@@ -62,7 +62,7 @@
 	refuse(ctx, status, reason)
 }
 
-// delayed carries out the fault of slow answers and reports whether there was one.
+// delayed waits if the fault is FaultSlow and reports whether it is.
 func (h *host) delayed(fault FaultSwitch) bool {
 	if fault.Fault != FaultSlow {
 		return false
@@ -76,11 +76,11 @@
 	return true
 }
 
-// run gives the request to the scheduler and its answer to the caller.
+// run passes the request to the scheduler and streams the answer to the caller.
 func (e *Engine) run(ctx *fasthttp.RequestCtx, c *call, body *wire.GenerateRequest, fault Fault) {
 	now := time.Now()
-	wanted := newStream(now, c, body)
-	job := e.newJob(c, body, wanted)
+	requested := newStream(now, c, body)
+	job := e.newJob(c, body, requested)
 	var parts []wire.Span
 	if len(body.Span) > 1 {
 		var err error
@@ -89,19 +89,20 @@
 			return
 		}
 	}
-	st, reader, err := e.scheduler.attach(now, wanted, job)
+	st, reader, err := e.scheduler.attach(now, requested, job)
 	if err != nil {
 		e.rejectGenerate(ctx, c, body, err)
 		return
 	}
-	if len(parts) > 0 && st == wanted {
+	if len(parts) > 0 && st == requested {
 		go e.watchSpan(st, job.ID, parts)
 	}
 	e.stream(ctx, st, reader, c, fault)
 }
 
-// rejectGenerate refuses what the model did not take. An attempt that meets a
-// later one on the engine is not refused: the request does run here.
+// rejectGenerate answers a request that the scheduler did not accept. If another
+// attempt of the request is on the engine, the answer carries no refusal header,
+// because the request does run here.
 func (e *Engine) rejectGenerate(ctx *fasthttp.RequestCtx, c *call, body *wire.GenerateRequest, err error) {
 	switch {
 	case errors.Is(err, errStale), errors.Is(err, errMismatch), errors.Is(err, enginemodel.ErrDuplicate):
@@ -143,7 +144,7 @@
 	}
 }
 
-// stream answers with frames until the answer ends.
+// stream sends the answer as frames until it ends.
 func (e *Engine) stream(ctx *fasthttp.RequestCtx, st *stream, reader uint64, c *call, fault Fault) {
 	w := &answerWriter{
 		scheduler: e.scheduler,
@@ -160,12 +161,12 @@
 	switch fault {
 	case FaultCloseAfterRead:
 		_ = w.conn.Close()
-		w.lost()
+		w.detachReader()
 		return
 	case FaultNever:
 		e.faults.untilCleared(e.ctx)
 		_ = w.conn.Close()
-		w.lost()
+		w.detachReader()
 		return
 	}
 	ctx.SetContentType(contentTypeLines)
--- a/standin/host.go
+++ b/standin/host.go
@@ -28,8 +28,8 @@
 	drainPoll        = 20 * time.Millisecond
 )
 
-// host is what both stand-ins have in common: server, announcements, faults,
-// journal and the order of leaving.
+// host is the common part of both stand-ins: server, announcements, faults, journal
+// and shutdown sequence.
 type host struct {
 	options   Options
 	server    *fasthttp.Server
@@ -67,18 +67,18 @@
 		CloseOnShutdown:       true,
 		NoDefaultServerHeader: true,
 		NoDefaultDate:         true,
-		Logger:                silentLogger{},
+		Logger:                discardLogger{},
 	}
 	return h
 }
 
-// silentLogger drops what fasthttp says of connections that a fault closed.
-type silentLogger struct{}
+// discardLogger discards the messages of fasthttp about connections that a fault closed.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (silentLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// complete fills what the host knows of an announcement.
+// complete sets the fields of an announcement that both stand-ins have in common.
 func (h *host) complete(a upstream.Announcement) upstream.Announcement {
 	a.Name = h.options.Name
 	a.Incarnation = h.options.Incarnation
@@ -88,7 +88,7 @@
 	return a
 }
 
-// serve runs until the listener is closed.
+// serve accepts calls until the listener is closed.
 func (h *host) serve(ln net.Listener, more ...func(context.Context)) error {
 	if h.options.Address == "" {
 		h.address.Store(ln.Addr().String())
@@ -103,7 +103,7 @@
 	return errors.Wrap(h.server.Serve(tracked), "serve")
 }
 
-// start starts the workers, unless the stand-in was closed before.
+// start starts the workers. It returns false if the stand-in has already been closed.
 func (h *host) start(tracked *trackedListener, workers []func(context.Context)) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -117,17 +117,17 @@
 	return true
 }
 
-// shutdown announces the leaving, waits for the announcement to spread and for
-// the work under way, and ends. When ctx ends earlier, it cuts off what is left
-// and returns the error of ctx.
+// shutdown announces that the stand-in is leaving, waits for the announcement to
+// propagate and for the running work, and stops. If ctx ends earlier, it aborts the
+// remaining work and returns the error of ctx.
 func (h *host) shutdown(ctx context.Context, busy func() bool) error {
 	h.leaving.Store(true)
 	eventLeaving.Log(h.options.Log, logrus.Fields{"name": h.options.Name})
-	h.announcer.now()
-	spread := time.NewTimer(h.options.LeaveWait)
-	defer spread.Stop()
+	h.announcer.announceNow()
+	propagation := time.NewTimer(h.options.LeaveWait)
+	defer propagation.Stop()
 	select {
-	case <-spread.C:
+	case <-propagation.C:
 	case <-ctx.Done():
 	}
 	poll := time.NewTicker(drainPoll)
@@ -143,7 +143,7 @@
 	return errors.Wrap(err, "shut down")
 }
 
-// close ends at once, as a killed process would.
+// close stops the stand-in immediately, like a killed process.
 func (h *host) close() {
 	h.mu.Lock()
 	h.stop()
@@ -156,8 +156,8 @@
 	eventStopped.Log(h.options.Log, logrus.Fields{"name": h.options.Name})
 }
 
-// guard does what comes before every handler: freezing, faults, the check of the
-// key and of the incarnation that is meant.
+// guard wraps a handler: it serves the fault and health paths, blocks while the
+// stand-in is frozen, and checks the key and the expected incarnation.
 func (h *host) guard(handle fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		path := string(ctx.Path())
@@ -178,7 +178,7 @@
 			refuse(ctx, fasthttp.StatusUnauthorized, "unknown key")
 			return
 		}
-		if !h.meant(ctx) {
+		if !h.matchesIncarnation(ctx) {
 			refuse(ctx, fasthttp.StatusConflict, "another incarnation is meant")
 			return
 		}
@@ -194,10 +194,10 @@
 	return found && subtle.ConstantTimeCompare([]byte(given), []byte(h.options.Key)) == 1
 }
 
-// meant reports whether the call is for this incarnation. A call that was routed
-// to a process which died must not run on the one that came after it: the work
-// of the old one counts as lost already.
-func (h *host) meant(ctx *fasthttp.RequestCtx) bool {
+// matchesIncarnation reports whether the call is addressed to this incarnation. A call that was
+// routed to a terminated process must not run on its successor, because instances
+// already count the work of the old process as lost.
+func (h *host) matchesIncarnation(ctx *fasthttp.RequestCtx) bool {
 	given := string(ctx.Request.Header.Peek(wire.HeaderIncarnation))
 	return given == "" || given == strconv.FormatUint(h.options.Incarnation, 10)
 }
--- a/standin/journal.go
+++ b/standin/journal.go
@@ -9,24 +9,24 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Ending says how an execution ended, or that it began.
+// Ending states how an execution ended, or that it started.
 type Ending string
 
-// The endings in a journal.
+// The values of Ending in a journal.
 const (
-	Begun          Ending = "begun"     // it runs from now on; if no other line follows, the process died
-	EndedWhole     Ending = "whole"     // the final frame or the answer was sent
-	EndedCancelled Ending = "cancelled" // a cancel ended it
-	EndedDeadline  Ending = "deadline"  // its remaining time was over
-	EndedUnread    Ending = "unread"    // its reader was lost and did not come back
-	EndedSpanLost  Ending = "span-lost" // a part of its span lost its memory
-	EndedStopped   Ending = "stopped"   // the stand-in ended
+	Begun          Ending = "begun"     // the execution started; if no other entry follows, the process was killed
+	EndedWhole     Ending = "whole"     // the final frame or the complete answer was sent
+	EndedCancelled Ending = "cancelled" // it was cancelled
+	EndedDeadline  Ending = "deadline"  // its deadline passed
+	EndedUnread    Ending = "unread"    // its reader disconnected and did not resume in time
+	EndedSpanLost  Ending = "span-lost" // the reservation of a part of its span was lost
+	EndedStopped   Ending = "stopped"   // the stand-in stopped
 	EndedRefused   Ending = "refused"   // it was not executed
 )
 
-// Entry is one line of a journal: the beginning or the end of one execution, or a
-// refusal. A comparison of these lines with a report tells whether the report is
-// true, and keys that begin more than once were doubled, whatever died meanwhile.
+// Entry is one line of a journal: the start or the end of one execution, or a
+// refusal. Reports are verified by comparison with the journals. A key that started
+// more than once was executed repeatedly, even if processes were killed meanwhile.
 type Entry struct {
 	At           time.Time `json:"at"`
 	Upstream     string    `json:"upstream"`
@@ -37,7 +37,7 @@
 	PromptTokens int       `json:"prompt_tokens,omitempty"`
 	AnswerTokens int       `json:"answer_tokens,omitempty"`
 	Ended        Ending    `json:"ended"`
-	Reason       string    `json:"reason,omitempty"` // of a refusal
+	Reason       string    `json:"reason,omitempty"` // reason of a refusal
 }
 
 // journal writes entries as JSON lines.
--- a/standin/kv.go
+++ b/standin/kv.go
@@ -8,8 +8,8 @@
 	"celeryport/upstream/wire"
 )
 
-// serveExport holds the KV cache of a prefix for a fetch by another engine. It
-// lapses with its lease, or earlier by a cancel.
+// serveExport keeps the KV cache of a prefix for a transfer to another engine. The
+// export ends when its lease expires or when it is cancelled.
 func (e *Engine) serveExport(ctx *fasthttp.RequestCtx) {
 	var r wire.KVExportRequest
 	if !decode(ctx, &r) {
@@ -23,7 +23,7 @@
 	respondJSON(ctx, &response)
 }
 
-// serveImport takes the KV cache of a prefix that another engine exported.
+// serveImport imports the KV cache of a prefix that another engine exported.
 func (e *Engine) serveImport(ctx *fasthttp.RequestCtx) {
 	var r wire.KVImportRequest
 	if !decode(ctx, &r) {
@@ -40,7 +40,7 @@
 func (s *scheduler) export(now time.Time, r *wire.KVExportRequest) wire.KVExportResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer s.poke()
+	defer s.wakeUp()
 	at := s.scale.model(now)
 	tokens := s.model.Cached(at, r.PrefixHash)
 	if tokens == 0 {
--- a/standin/listener.go
+++ b/standin/listener.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// trackedListener knows its open connections, so that Close of a stand-in can
-// end as abruptly as a killed process.
+// trackedListener keeps a list of its open connections, so that Close of a stand-in
+// can close them abruptly, like a killed process.
 type trackedListener struct {
 	net.Listener
 	mu     sync.Mutex
@@ -23,8 +23,8 @@
 	return &trackedListener{Listener: ln, open: map[*trackedConn]struct{}{}}
 }
 
-// Accept implements net.Listener. A connection that ended before it could be set
-// up is skipped; an error here would end the server.
+// Accept implements net.Listener. A connection that ended before its options could
+// be set is skipped, because an error would stop the server.
 func (l *trackedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -59,7 +59,7 @@
 	return c.Conn.Close()
 }
 
-// closeAll closes the listener and every connection.
+// closeAll closes the listener and all open connections.
 func (l *trackedListener) closeAll() {
 	l.mu.Lock()
 	l.closed = true
--- a/standin/listener_test.go
+++ b/standin/listener_test.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Something between an engine and an instance loses track of their connection.
-// The engine's heartbeats go into the kernel's buffer, no write fails, and the
-// memory of the request is held until its deadline. What the kernel does with the
-// timeout can't be shown on loopback, so this checks that it is told.
+// A device between an engine and an instance drops the state of their connection. The
+// engine's heartbeats are written into the kernel's buffer, no write fails, and the
+// memory of the request is held until its deadline. The effect of the time-out can't
+// be reproduced on loopback, so the test checks that the socket option is set.
 func TestAcceptedConnectionsHaveUserTimeout(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,7 +34,7 @@
 	raw.Control(func(fd uintptr) {
 		got, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 		if err != nil || got != int(userTimeout.Milliseconds()) {
-			t.Errorf("timeout %d ms, %v", got, err)
+			t.Errorf("TCP_USER_TIMEOUT is %d ms, %v", got, err)
 		}
 	})
 }
--- a/standin/network_test.go
+++ b/standin/network_test.go
@@ -18,7 +18,7 @@
 	"celeryport/upstream/wire"
 )
 
-// network connects servers in memory by address.
+// network is an in-memory network that connects servers by address.
 type network struct {
 	mu        sync.Mutex
 	listeners map[string]*fasthttputil.InmemoryListener
@@ -29,7 +29,7 @@
 	return &network{listeners: map[string]*fasthttputil.InmemoryListener{}}
 }
 
-// listen opens an address; a former listener there is replaced, as by a restart.
+// listen returns a new listener for an address and replaces the previous one, as a restart does.
 func (n *network) listen(address string) net.Listener {
 	ln := fasthttputil.NewInmemoryListener()
 	n.mu.Lock()
@@ -54,7 +54,7 @@
 	return conn, err
 }
 
-// cut closes every connection that was dialled so far.
+// cut closes all connections that were dialled so far.
 func (n *network) cut() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -64,13 +64,13 @@
 	n.conns = nil
 }
 
-// instance is an entry instance that only hears announcements.
+// instance is an instance that only receives announcements.
 type instance struct {
 	server  *fasthttp.Server
 	further []string
 
-	mu    sync.Mutex
-	heard []upstream.Announcement
+	mu       sync.Mutex
+	received []upstream.Announcement
 }
 
 func startInstance(t *testing.T, n *network, address, key string, further ...string) *instance {
@@ -86,7 +86,7 @@
 			t.Error(err)
 		}
 		i.mu.Lock()
-		i.heard = append(i.heard, a)
+		i.received = append(i.received, a)
 		i.mu.Unlock()
 		body, _ := json.Marshal(&wire.AnnounceResponse{Addresses: i.further})
 		ctx.SetBody(body)
@@ -99,13 +99,13 @@
 func (i *instance) last() (upstream.Announcement, int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if len(i.heard) == 0 {
+	if len(i.received) == 0 {
 		return upstream.Announcement{}, 0
 	}
-	return i.heard[len(i.heard)-1], len(i.heard)
+	return i.received[len(i.received)-1], len(i.received)
 }
 
-// post sends one JSON call on a connection of its own.
+// post sends one JSON call on a new connection and returns the status.
 func (n *network) post(t *testing.T, address, path string, body, answer any) int {
 	t.Helper()
 	conn, err := n.dial(context.Background(), address)
@@ -143,8 +143,9 @@
 	return response
 }
 
-// inBubble runs a test on virtual time. The servers' idle workers end a little
-// after their listener; the bubble has to outlive them.
+// inBubble runs a test on virtual time in a synctest bubble. The idle workers of the
+// servers end some time after their listener, and the bubble must not end before
+// them.
 func inBubble(t *testing.T, test func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/standin/options.go
+++ b/standin/options.go
@@ -15,20 +15,20 @@
 // Dialer opens a connection.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Options are what both stand-ins have in common.
+// Options are the options that both stand-ins have in common.
 type Options struct {
 	Name             string
 	AvailabilityZone string
-	Targets          []string // models, or the one service
+	Targets          []string // model names, or the name of the service
 	Version          string
-	Address          string        // announced address; empty: that of the listener
-	Incarnation      uint64        // 0: the time of the start in nanoseconds
-	Key              string        // callers must present it; empty: nobody is checked
-	Announce         []string      // entry instances to announce to
-	UpstreamKey      string        // presented when announcing
-	LeaveWait        time.Duration // least time between the announcement of leaving and the end
+	Address          string        // announced address; empty: the address of the listener
+	Incarnation      uint64        // 0: the start time in nanoseconds
+	Key              string        // required from callers; empty: callers are not authenticated
+	Announce         []string      // addresses of the instances that receive announcements
+	UpstreamKey      string        // sent with announcements
+	LeaveWait        time.Duration // minimum time between the announcement of leaving and the stop
 	MaxBodyBytes     int           // 0: defaultMaxBody
-	Journal          io.Writer     // what was executed, as JSON lines; may be nil
+	Journal          io.Writer     // receives the executions as JSON lines; may be nil
 	Log              logrus.FieldLogger
 	Dial             Dialer // for announcements and spans; nil: TCP
 }
@@ -37,16 +37,16 @@
 type EngineOptions struct {
 	Options
 	Model        enginemodel.Config
-	TimeScale    float64       // so many times faster than the model; 0: 1
-	Heartbeat    time.Duration // longest silence on an answer stream, in real time
-	ResumeWindow time.Duration // work without a reader is kept so long, in real time
+	TimeScale    float64       // speed relative to the timing of the model; 0 means 1
+	Heartbeat    time.Duration // maximum time between frames on an answer stream, in real time
+	ResumeWindow time.Duration // time for which work without a reader is kept, in real time
 	Fencing      upstream.Fencing
 }
 
 // ServiceOptions describe a stand-in of a plain service.
 type ServiceOptions struct {
 	Options
-	Latency time.Duration // before each answer
+	Latency time.Duration // delay before each answer
 	Dedupe  bool          // a repeated Idempotency-Key gets the first answer and is not executed again
 }
 
--- a/standin/orders.go
+++ b/standin/orders.go
@@ -11,10 +11,10 @@
 	"celeryport/upstream/wire"
 )
 
-// mostOrders bounds the list of executed orders.
-const mostOrders = 64
+// maxOrders limits the list of executed orders.
+const maxOrders = 64
 
-// orders is what the engine serves and which orders made it so.
+// orders holds the configuration of the engine and executes the orders that change it.
 type orders struct {
 	fencing upstream.Fencing
 
@@ -45,9 +45,9 @@
 	return state
 }
 
-// execute takes an order. An engine that checks fencing numbers refuses older
-// ones and knows a resent order; one that does not executes whatever comes, as
-// often as it comes.
+// execute executes an order. An engine that checks fencing numbers rejects orders
+// with lower numbers and executes a repeated order only once. An engine that does
+// not check them executes every order each time it arrives.
 func (o *orders) execute(order *wire.Order, incarnation uint64) wire.OrderResponse {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -64,7 +64,7 @@
 		return wire.OrderResponse{Reason: "unknown kind of order", State: o.copy(incarnation)}
 	}
 	o.state.Orders = append(o.state.Orders, order.ID)
-	if excess := len(o.state.Orders) - mostOrders; excess > 0 {
+	if excess := len(o.state.Orders) - maxOrders; excess > 0 {
 		o.state.Orders = slices.Delete(o.state.Orders, 0, excess)
 	}
 	return wire.OrderResponse{Accepted: true, State: o.copy(incarnation)}
@@ -109,7 +109,7 @@
 	return slices.DeleteFunc(list, func(one string) bool { return one == value })
 }
 
-// serveOrder executes or refuses an order.
+// serveOrder executes or rejects an order.
 func (e *Engine) serveOrder(ctx *fasthttp.RequestCtx) {
 	var order wire.Order
 	if !decode(ctx, &order) {
--- a/standin/orders_test.go
+++ b/standin/orders_test.go
@@ -8,9 +8,9 @@
 	"celeryport/upstream/wire"
 )
 
-// Two issuers of orders live for a moment, or an order is sent again after its
-// answer was lost. Without the fencing number the older issuer would undo what
-// the newer one ordered.
+// Two issuers of orders are active for a moment, or an order is sent again after its
+// answer was lost. Without the fencing number, the older issuer would revert the
+// orders of the newer one.
 func TestEngineFencesOrders(t *testing.T) {
 	newer := &wire.Order{ID: "b", Term: 3, Index: 9, Kind: wire.OrderVersion, Value: "2"}
 	older := &wire.Order{ID: "a", Term: 3, Index: 8, Kind: wire.OrderVersion, Value: "1"}
--- a/standin/parse_fault.go
+++ b/standin/parse_fault.go
@@ -8,11 +8,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrMalformedFault means that the text of a fault switch is not
+// ErrMalformedFault means that the description of a fault does not have the form
 // NAME[:TIMES[:DELAY]].
 var ErrMalformedFault = errors.New("a fault is NAME[:TIMES[:DELAY]], such as slow:3:500ms")
 
-// ParseFault reads NAME[:TIMES[:DELAY]].
+// ParseFault parses a fault description of the form NAME[:TIMES[:DELAY]].
 func ParseFault(text string) (FaultSwitch, error) {
 	parts := strings.Split(text, ":")
 	s := FaultSwitch{Fault: Fault(parts[0])}
--- a/standin/respond.go
+++ b/standin/respond.go
@@ -10,18 +10,18 @@
 	"celeryport/upstream/wire"
 )
 
-// refusal is the body of a refusal.
+// refusal is the body of an error answer.
 type refusal struct {
 	Error string `json:"error"`
 }
 
-// refuse answers a call that was not executed and says so.
+// refuse answers with an error and the refusal header, which states that the call was not executed.
 func refuse(ctx *fasthttp.RequestCtx, status int, reason string) {
 	ctx.Response.Header.Set(wire.HeaderRefused, reason)
 	fail(ctx, status, reason)
 }
 
-// fail answers a call of which nothing else is said.
+// fail answers with an error that does not state whether the call was executed.
 func fail(ctx *fasthttp.RequestCtx, status int, reason string) {
 	ctx.SetStatusCode(status)
 	respondJSON(ctx, &refusal{Error: reason})
@@ -37,7 +37,7 @@
 	ctx.SetBody(body)
 }
 
-// decode reads a JSON body and refuses what it cannot read.
+// decode decodes a JSON body. If that fails, it refuses the call and returns false.
 func decode(ctx *fasthttp.RequestCtx, value any) bool {
 	if err := json.Unmarshal(ctx.PostBody(), value); err != nil {
 		refuse(ctx, fasthttp.StatusBadRequest, "body is not the JSON that is expected")
@@ -46,20 +46,20 @@
 	return true
 }
 
-// call is what the headers of a request say.
+// call holds the values of the request headers.
 type call struct {
 	request   string
 	attempt   uint32
 	owner     string
 	priority  int
-	resume    bool // only pick up a stream that is here
+	resume    bool // resume an existing stream only, never start a new one
 	offset    int
-	limited   bool          // remaining is given
-	remaining time.Duration // until the deadline
+	limited   bool          // remaining is set
+	remaining time.Duration // time until the deadline
 	key       string
 }
 
-// parseCall reads the headers; ok is false if a number is malformed.
+// parseCall parses the request headers; ok is false if a number is malformed.
 func parseCall(header *fasthttp.RequestHeader) (c call, ok bool) {
 	c.request = string(header.Peek(wire.HeaderRequestID))
 	c.owner = string(header.Peek(wire.HeaderOwner))
--- a/standin/scheduler.go
+++ b/standin/scheduler.go
@@ -12,35 +12,35 @@
 	"celeryport/upstream/wire"
 )
 
-// scheduler drives the engine model on the real clock and keeps the streams that
-// run on it. It is safe for concurrent use.
+// scheduler runs the engine model on the real clock and holds the streams on it. It
+// is safe for concurrent use.
 type scheduler struct {
 	scale        timeScale
 	resumeWindow time.Duration
-	ended        func(*stream, Ending) // told of each stream's beginning and, once, of its end, with the lock held
-	readerLost   func(*stream)         // told of each lost reader, with the lock held
+	onEnd        func(*stream, Ending) // called at the start of each stream and once at its end, with the lock held
+	onReaderLost func(*stream)         // called for each disconnected reader, with the lock held
 
 	mu      sync.Mutex
 	model   *enginemodel.Engine
 	streams map[string]*stream // by request id
-	jobs    map[string]*stream // by id in the model, until it finished there
+	jobs    map[string]*stream // by id in the model, until the job is finished there
 	wake    chan struct{}
 }
 
-// The reasons for which a request is not taken.
+// The reasons for which the scheduler does not accept a request.
 var (
 	errStale    = errors.New("a later attempt of the request is on the engine")
 	errMismatch = errors.New("the request on the engine has another prompt")
 	errGone     = errors.New("no such stream to resume")
 )
 
-func newScheduler(o *EngineOptions, now time.Time, ended func(*stream, Ending), readerLost func(*stream)) *scheduler {
+func newScheduler(o *EngineOptions, now time.Time, onEnd func(*stream, Ending), onReaderLost func(*stream)) *scheduler {
 	scale := newTimeScale(now, o.TimeScale)
 	return &scheduler{
 		scale:        scale,
 		resumeWindow: o.ResumeWindow,
-		ended:        ended,
-		readerLost:   readerLost,
+		onEnd:        onEnd,
+		onReaderLost: onReaderLost,
 		model:        enginemodel.New(o.Model, scale.model(now)),
 		streams:      map[string]*stream{},
 		jobs:         map[string]*stream{},
@@ -48,69 +48,69 @@
 	}
 }
 
-// jobID names an attempt in the model.
+// jobID returns the id of an attempt in the model.
 func jobID(request string, attempt uint32) string {
 	return request + "/" + strconv.FormatUint(uint64(attempt), 10)
 }
 
-// attach gives the request a reader: it resumes what is on the engine, or
-// submits the job. It returns the number of the reader.
-func (s *scheduler) attach(now time.Time, wanted *stream, job enginemodel.Job) (*stream, uint64, error) {
+// attach adds a reader for the request. It takes over the existing stream of the
+// request, or submits the job. It returns the stream and the number of the reader.
+func (s *scheduler) attach(now time.Time, requested *stream, job enginemodel.Job) (*stream, uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if present := s.streams[wanted.request]; present != nil {
-		return s.takeOver(now, present, wanted)
+	if current := s.streams[requested.request]; current != nil {
+		return s.takeOver(now, current, requested)
 	}
-	// Decided under the lock: a resume that finds its stream ended a moment ago
-	// must not run the request a second time.
-	if wanted.resume {
+	// This is checked under the lock: a resume whose stream has just ended must not
+	// run the request a second time.
+	if requested.resume {
 		return nil, 0, errGone
 	}
 	if err := s.model.Submit(s.scale.model(now), job); err != nil {
 		return nil, 0, err
 	}
-	wanted.job = job.ID
-	wanted.ready = job.Offset
-	wanted.reader = 1
-	wanted.changed = make(chan struct{})
-	s.streams[wanted.request] = wanted
-	s.jobs[job.ID] = wanted
-	s.ended(wanted, Begun)
-	s.poke()
-	return wanted, wanted.reader, nil
+	requested.job = job.ID
+	requested.ready = job.Offset
+	requested.reader = 1
+	requested.changed = make(chan struct{})
+	s.streams[requested.request] = requested
+	s.jobs[job.ID] = requested
+	s.onEnd(requested, Begun)
+	s.wakeUp()
+	return requested, requested.reader, nil
 }
 
-func (s *scheduler) takeOver(now time.Time, present, wanted *stream) (*stream, uint64, error) {
-	if wanted.attempt < present.attempt {
+func (s *scheduler) takeOver(now time.Time, current, requested *stream) (*stream, uint64, error) {
+	if requested.attempt < current.attempt {
 		return nil, 0, errStale
 	}
-	if wanted.hash != present.hash || wanted.maxTokens != present.maxTokens {
+	if requested.hash != current.hash || requested.maxTokens != current.maxTokens {
 		return nil, 0, errMismatch
 	}
-	present.attempt = wanted.attempt
-	present.owner = wanted.owner
-	// The sweep of a dead owner must not end what another one has taken over.
-	s.model.Adopt(s.scale.model(now), present.job, wanted.owner)
-	present.deadline = wanted.deadline
-	present.reader++
-	present.unreadFrom = time.Time{}
-	present.broadcast()
-	return present, present.reader, nil
+	current.attempt = requested.attempt
+	current.owner = requested.owner
+	// The cleanup of a dead owner's work must not cancel a stream that another owner has taken over.
+	s.model.Adopt(s.scale.model(now), current.job, requested.owner)
+	current.deadline = requested.deadline
+	current.reader++
+	current.unreadSince = time.Time{}
+	current.broadcast()
+	return current, current.reader, nil
 }
 
-// detach says that the reader lost its connection.
+// detach records that the reader has disconnected.
 func (s *scheduler) detach(now time.Time, st *stream, reader uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if st.ended != "" || st.reader != reader {
 		return
 	}
-	st.unreadFrom = now
-	s.readerLost(st)
-	s.poke()
+	st.unreadSince = now
+	s.onReaderLost(st)
+	s.wakeUp()
 }
 
-// view returns what the reader may send by now.
+// view returns the current state of the stream for the reader.
 func (s *scheduler) view(st *stream, reader uint64) view {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,35 +124,35 @@
 	}
 }
 
-// delivered says that the reader sent the final frame. Whether the frame arrived
-// is not known, so the answer stays for the resume window; its memory in the model
-// is free already.
+// delivered records that the final frame was sent to the reader. Whether the frame
+// arrived is unknown, so the answer is kept for the resume window; its memory in
+// the model is already free.
 func (s *scheduler) delivered(now time.Time, st *stream, reader uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if st.ended != "" || st.reader != reader {
 		return
 	}
-	st.unreadFrom = now
-	s.poke()
+	st.unreadSince = now
+	s.wakeUp()
 	if !st.delivered {
 		st.delivered = true
-		s.ended(st, EndedWhole)
+		s.onEnd(st, EndedWhole)
 	}
 }
 
-// cancel ends what the request names and returns how much that was.
+// cancel cancels the work that the request names and returns the number of cancelled requests.
 func (s *scheduler) cancel(now time.Time, r *wire.CancelRequest) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer s.poke()
+	defer s.wakeUp()
 	at := s.scale.model(now)
 	if r.Request == "" {
 		return s.cancelOwner(at, r.Owner)
 	}
 	count := 0
 	st := s.streams[r.Request]
-	// A cancel that comes late must not end a later attempt of the request.
+	// A delayed cancel must not end a later attempt of the request.
 	if st != nil && st.attempt <= r.Attempt && (r.Owner == "" || r.Owner == st.owner) {
 		s.model.Cancel(at, st.job)
 		s.end(st, EndedCancelled)
@@ -179,29 +179,29 @@
 	return count + s.model.CancelOwner(at, owner)
 }
 
-// end forgets a stream; its memory in the model must be free already or be
-// freed by the caller.
+// end removes a stream. Its memory in the model must already be free, or the caller
+// frees it.
 func (s *scheduler) end(st *stream, how Ending) {
 	st.ended = how
 	delete(s.streams, st.request)
 	delete(s.jobs, st.job)
 	st.broadcast()
 	if !st.delivered {
-		s.ended(st, how)
+		s.onEnd(st, how)
 	}
 }
 
-// reserve reserves, renews or frees a part of a span.
+// reserve creates, renews or releases the reservation of one part of a span.
 func (s *scheduler) reserve(now time.Time, r *wire.ReserveRequest) wire.ReserveResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer s.poke()
+	defer s.wakeUp()
 	lease := s.scale.modelDuration(time.Duration(r.LeaseMs) * time.Millisecond)
 	granted, free := s.model.Reserve(s.scale.model(now), jobID(r.Request, r.Attempt), r.Owner, r.Tokens, lease)
 	return wire.ReserveResponse{Granted: granted, Free: free}
 }
 
-// report returns what an announcement says of the load.
+// report returns the load and the cache events for an announcement.
 func (s *scheduler) report(now time.Time) (upstream.Load, []upstream.CacheEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,7 +213,7 @@
 	return load, s.model.CacheEvents(at)
 }
 
-// busy reports whether any answer was not delivered.
+// busy reports whether any answer has not been delivered yet.
 func (s *scheduler) busy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -225,7 +225,7 @@
 	return false
 }
 
-// freeze stops or restarts the engine.
+// freeze stops or resumes the engine model.
 func (s *scheduler) freeze(now time.Time, frozen bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,10 +234,10 @@
 		speed = 0
 	}
 	s.model.SetSpeed(s.scale.model(now), speed)
-	s.poke()
+	s.wakeUp()
 }
 
-func (s *scheduler) poke() {
+func (s *scheduler) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
--- a/standin/scheduler_run.go
+++ b/standin/scheduler_run.go
@@ -7,14 +7,14 @@
 	"celeryport/standin/enginemodel"
 )
 
-// leastPause bounds how often the scheduler wakes: a fast time scale would make
-// it wake for every token.
-const leastPause = 2 * time.Millisecond
+// minPause is the minimum time between two steps of the scheduler. With a fast
+// time scale it would otherwise run for every token.
+const minPause = 2 * time.Millisecond
 
-// idlePause is the wait when nothing is due.
+// idlePause is the time until the next step when nothing is due.
 const idlePause = time.Minute
 
-// run drives the model until ctx ends, and then ends every stream.
+// run advances the model until ctx ends, and then ends all streams.
 func (s *scheduler) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -30,22 +30,22 @@
 	}
 }
 
-// advance brings the model to now and returns the time until it is due again.
+// advance brings the model to the time now and returns the time until the next step.
 func (s *scheduler) advance(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, event := range s.model.Advance(s.scale.model(now)) {
-		s.deliver(event)
+		s.applyEvent(event)
 	}
 	pause := idlePause
 	if next := s.model.Next(); !next.IsZero() {
 		pause = s.scale.real(next).Sub(now)
 	}
-	return max(leastPause, min(pause, s.expire(now)))
+	return max(minPause, min(pause, s.expire(now)))
 }
 
-// deliver tells a stream what the model made.
-func (s *scheduler) deliver(event enginemodel.Event) {
+// applyEvent applies an event of the model to its stream.
+func (s *scheduler) applyEvent(event enginemodel.Event) {
 	st := s.jobs[event.ID]
 	if st == nil {
 		return
@@ -59,9 +59,10 @@
 	st.broadcast()
 }
 
-// expire ends streams that nobody reads or whose deadline passed, and returns
-// the time until the next one is due. An instance that died never cancels its
-// work; without this the engine's memory would be lost to it.
+// expire ends the streams that have had no reader for the resume window or whose
+// deadline has passed, and returns the time until the next stream is due. A
+// terminated instance never cancels its work, so without this the memory of that
+// work would stay in use.
 func (s *scheduler) expire(now time.Time) time.Duration {
 	next := idlePause
 	at := s.scale.model(now)
@@ -80,19 +81,19 @@
 	return next
 }
 
-// due returns when the stream has to be ended, and how; the zero time is never.
+// due returns when the stream has to be ended, and for which reason. The zero time means never.
 func (st *stream) due(window time.Duration) (time.Time, Ending) {
 	due, how := st.deadline, EndedDeadline
-	if st.unreadFrom.IsZero() {
+	if st.unreadSince.IsZero() {
 		return due, how
 	}
-	if unread := st.unreadFrom.Add(window); due.IsZero() || unread.Before(due) {
+	if unread := st.unreadSince.Add(window); due.IsZero() || unread.Before(due) {
 		return unread, EndedUnread
 	}
 	return due, how
 }
 
-// stop ends every stream.
+// stop ends all streams.
 func (s *scheduler) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/service.go
+++ b/standin/service.go
@@ -12,11 +12,11 @@
 	"celeryport/upstream"
 )
 
-// pathCounts is where the service tells what it executed: GET -> answer.Counts.
+// pathCounts is the path for the execution counts: GET -> answer.Counts.
 const pathCounts = "/counts"
 
-// Service is a stand-in of a plain service. It counts what it executes, so that
-// a call which ran twice is seen.
+// Service is a stand-in for a plain service. It counts the calls it executes, so
+// that a call that was executed twice is detected.
 type Service struct {
 	*host
 	options ServiceOptions
@@ -24,7 +24,7 @@
 	running atomic.Int64
 }
 
-// NewService returns a service that does nothing before Serve.
+// NewService returns a service, which starts with Serve.
 func NewService(o ServiceOptions) *Service {
 	o.Options = o.withDefaults(time.Now())
 	s := &Service{options: o, counter: newCounter(o.Dedupe)}
@@ -32,19 +32,19 @@
 	return s
 }
 
-// Serve answers on the listener until Shutdown or Close.
+// Serve accepts calls on the listener until Shutdown or Close.
 func (s *Service) Serve(ln net.Listener) error { return s.serve(ln) }
 
-// Shutdown announces that the service leaves, refuses new calls, waits for those
-// under way and ends. When ctx ends earlier, the rest is cut off.
+// Shutdown announces that the service is leaving, refuses new calls, waits for the
+// running calls and stops. If ctx ends earlier, the remaining calls are aborted.
 func (s *Service) Shutdown(ctx context.Context) error {
 	return s.shutdown(ctx, func() bool { return s.running.Load() > 0 })
 }
 
-// Close ends at once, as a killed process would.
+// Close stops the service immediately, like a killed process.
 func (s *Service) Close() { s.close() }
 
-// Counts returns what the service executed.
+// Counts returns the numbers of executions.
 func (s *Service) Counts() *answer.Counts { return s.counter.counts() }
 
 func (s *Service) describe(time.Time) upstream.Announcement {
@@ -56,7 +56,7 @@
 	}
 }
 
-// handle executes a call of any path.
+// handle executes a call to any path except pathCounts, which it answers with the counts.
 func (s *Service) handle(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) == pathCounts {
 		respondJSON(ctx, s.Counts())
@@ -69,7 +69,7 @@
 	}
 	s.running.Add(1)
 	defer s.running.Add(-1)
-	if reason := s.objection(&c); reason != "" {
+	if reason := s.refusalReason(&c); reason != "" {
 		s.refuse(ctx, &c, reason)
 		return
 	}
@@ -81,7 +81,7 @@
 	s.execute(ctx, &c, fault.Fault)
 }
 
-func (s *Service) objection(c *call) string {
+func (s *Service) refusalReason(c *call) string {
 	switch {
 	case s.leaving.Load():
 		return "leaving"
@@ -92,7 +92,7 @@
 }
 
 func (s *Service) refuse(ctx *fasthttp.RequestCtx, c *call, reason string) {
-	s.note(c, EndedRefused, reason)
+	s.writeJournal(c, EndedRefused, reason)
 	refuse(ctx, fasthttp.StatusServiceUnavailable, reason)
 }
 
@@ -105,8 +105,8 @@
 		Digest:  answer.CallDigest(ctx.PostBody()),
 	})
 	if fresh {
-		s.note(c, Begun, "")
-		s.note(c, EndedWhole, "")
+		s.writeJournal(c, Begun, "")
+		s.writeJournal(c, EndedWhole, "")
 	}
 	if !s.pause(s.options.Latency) {
 		_ = ctx.Conn().Close()
@@ -136,7 +136,7 @@
 	return s.options.Targets[0]
 }
 
-func (s *Service) note(c *call, ended Ending, reason string) {
+func (s *Service) writeJournal(c *call, ended Ending, reason string) {
 	s.journal.write(&Entry{
 		At: time.Now(), Upstream: s.options.Name, Request: c.request, Attempt: c.attempt,
 		Key: c.key, Target: s.target(), Ended: ended, Reason: reason,
--- a/standin/service_answer.go
+++ b/standin/service_answer.go
@@ -10,7 +10,7 @@
 	"celeryport/upstream/wire"
 )
 
-// answer sends the answer of a call, wrong in the way of the fault.
+// answer sends the answer of a call, altered according to the fault.
 func (s *Service) answer(ctx *fasthttp.RequestCtx, c *call, a *answer.Call, fault Fault) {
 	given := *a
 	ctx.Response.Header.Set(wire.HeaderRequestID, c.request)
@@ -34,8 +34,8 @@
 	}
 }
 
-// answerRaw writes the answer to the connection itself, for faults that a server
-// cannot be asked for.
+// answerRaw writes the answer directly to the connection, for faults that the HTTP
+// server cannot produce.
 func (s *Service) answerRaw(ctx *fasthttp.RequestCtx, fault Fault) {
 	var whole bytes.Buffer
 	if _, err := ctx.Response.WriteTo(&whole); err != nil {
--- a/standin/service_test.go
+++ b/standin/service_test.go
@@ -25,16 +25,16 @@
 	return s
 }
 
-func hold(id, key string) *client.ServiceCall {
+func holdCall(id, key string) *client.ServiceCall {
 	return &client.ServiceCall{
 		Address: "gate", Incarnation: 7, Request: id, Attempt: 1, Path: "/holds", Body: []byte("bolt " + id),
 		Remaining: 5 * time.Second, Key: key, MaxAnswer: 1 << 16,
 	}
 }
 
-// A service executes a hold and then fails to say so. Whoever took the silence
-// for "not run" would cut the cloth twice; whoever took a wrong answer for the
-// right one would promise the wrong bolt.
+// A service executes a call and then fails to answer, or answers wrongly. If the
+// client reported "not run", the call would be executed twice; if it accepted a wrong
+// answer, the caller would act on the result of another call.
 func TestServiceFaultsAsTheClientSeesThem(t *testing.T) {
 	for _, test := range []struct {
 		fault    standin.Fault
@@ -62,7 +62,7 @@
 					s.Faults().Set(standin.FaultSwitch{Fault: test.fault, Times: 1, DelayMs: 100})
 				}
 				c := client.New(n.dial, engineKey, ownerName, client.DefaultTiming)
-				got, failed := c.Service(context.Background(), hold("r1", "k1"))
+				got, failed := c.Service(context.Background(), holdCall("r1", "k1"))
 				var call answer.Call
 				if got != nil {
 					json.Unmarshal(got.Body, &call)
@@ -81,8 +81,8 @@
 	}
 }
 
-// The service itself shows a doubled call; one that knows keys hides it, which
-// is why the plain one is the default.
+// The counts of the service reveal a call that was executed twice. With deduplication
+// they would hide it, which is why deduplication is off by default.
 func TestServiceCountsDoubledCalls(t *testing.T) {
 	for _, test := range []struct {
 		dedupe bool
@@ -94,7 +94,7 @@
 			defer s.Close()
 			c := client.New(n.dial, engineKey, ownerName, client.DefaultTiming)
 			for _, id := range []string{"r1", "r2"} {
-				if _, failed := c.Service(context.Background(), hold(id, "k1")); failed != nil {
+				if _, failed := c.Service(context.Background(), holdCall(id, "k1")); failed != nil {
 					t.Fatal(failed)
 				}
 			}
@@ -105,14 +105,14 @@
 	}
 }
 
-// Callers with a wrong key must not be able to run anything.
+// A call with a wrong key must not be executed.
 func TestServiceChecksKeys(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		n := newNetwork()
 		s := startService(n, false)
 		defer s.Close()
 		c := client.New(n.dial, "wrong", ownerName, client.DefaultTiming)
-		_, failed := c.Service(context.Background(), hold("r1", "k1"))
+		_, failed := c.Service(context.Background(), holdCall("r1", "k1"))
 		if failed == nil || failed.Verdict != verdict.NotRun || len(s.Counts().Requests) != 0 {
 			t.Errorf("%v, counts %v", failed, s.Counts())
 		}
--- a/standin/span.go
+++ b/standin/span.go
@@ -11,27 +11,27 @@
 	"celeryport/upstream/wire"
 )
 
-// spanCheckInterval is how often the lead of a span looks at its other parts.
+// spanCheckInterval is the interval at which the lead of a span checks the other parts.
 const spanCheckInterval = time.Second
 
-// spanCheckTimeout bounds one look at one part.
+// spanCheckTimeout limits the check of one part.
 const spanCheckTimeout = 2 * time.Second
 
-// The reasons for which a span cannot run.
+// The reasons why a span cannot run.
 var (
-	errNotInSpan   = errors.New("this engine is not a part of the span")
-	errSpanTooTiny = errors.New("the parts of the span are smaller than the prompt")
-	errSpanPart    = errors.New("a part of the span is not reserved")
+	errNotInSpan    = errors.New("this engine is not a part of the span")
+	errSpanTooSmall = errors.New("the parts of the span are smaller than the prompt")
+	errSpanPart     = errors.New("a part of the span is not reserved")
 )
 
-// spanChecker asks other engines whether they hold their parts.
+// spanChecker checks whether other engines hold the reservations of their parts.
 type spanChecker struct {
 	dial Dialer
 	key  string
 }
 
-// prepareSpan sets the job up as the lead of a span and returns the other parts.
-// It fails unless every part holds its memory.
+// prepareSpan configures the job as the lead of a span and returns the other parts.
+// It fails unless the memory of all parts is reserved.
 func (e *Engine) prepareSpan(body *wire.GenerateRequest, job *enginemodel.Job) ([]wire.Span, error) {
 	own, total := 0, 0
 	var others []wire.Span
@@ -47,7 +47,7 @@
 		return nil, errNotInSpan
 	}
 	if total < job.PromptTokens+job.OutputTokens {
-		return nil, errSpanTooTiny
+		return nil, errSpanTooSmall
 	}
 	job.MemoryTokens = own
 	job.SpanSpeedup = float64(len(body.Span))
@@ -57,8 +57,8 @@
 	return others, e.spans.check(e.ctx, job.ID, others)
 }
 
-// watchSpan ends the stream when a part of its span is lost: an engine that died
-// or a reservation that lapsed took a piece of the prompt's KV memory away.
+// watchSpan ends the stream when a part of its span is lost. If the engine of a part
+// crashes or its reservation expires, part of the prompt's KV memory is gone.
 func (e *Engine) watchSpan(st *stream, job string, parts []wire.Span) {
 	ticker := time.NewTicker(spanCheckInterval)
 	defer ticker.Stop()
@@ -72,21 +72,21 @@
 			return
 		}
 		if e.spans.check(e.ctx, job, parts) != nil {
-			e.scheduler.lose(time.Now(), st)
+			e.scheduler.endLostSpan(time.Now(), st)
 			return
 		}
 	}
 }
 
-// runs reports whether the stream's job is not finished.
+// runs reports whether the job of the stream is still running.
 func (s *scheduler) runs(st *stream) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return st.ended == "" && !st.finished
 }
 
-// lose ends a stream whose span broke.
-func (s *scheduler) lose(now time.Time, st *stream) {
+// endLostSpan ends a stream that has lost a part of its span.
+func (s *scheduler) endLostSpan(now time.Time, st *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if st.ended != "" {
@@ -94,10 +94,10 @@
 	}
 	s.model.Cancel(s.scale.model(now), st.job)
 	s.end(st, EndedSpanLost)
-	s.poke()
+	s.wakeUp()
 }
 
-// check asks every part for its holdings.
+// check returns an error unless every part holds its memory.
 func (c *spanChecker) check(ctx context.Context, job string, parts []wire.Span) error {
 	for _, part := range parts {
 		if err := c.checkPart(ctx, job, part); err != nil {
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -6,40 +6,41 @@
 	"celeryport/standin/answer"
 )
 
-// stream is one request on the engine, from its submission until its whole
-// answer was sent or it was ended. Its fields belong to the scheduler's lock.
+// stream is one request on the engine, from its submission until the resume window
+// after its complete answer has passed or it is ended earlier. Its fields are
+// protected by the lock of the scheduler.
 type stream struct {
 	call
-	job          string // id in the engine model, from the attempt that submitted it
+	job          string // id in the engine model, built from the attempt that submitted the job
 	model        string
-	hash         uint64 // of the prompt
+	hash         uint64 // hash of the prompt
 	promptTokens int
 	maxTokens    int
 	deadline     time.Time // zero: none
 
-	ready     int // answer tokens that the engine has made
+	ready     int // number of answer tokens generated so far
 	cached    int
-	finished  bool   // all tokens are made, the memory is free
+	finished  bool   // all tokens are generated and the memory is free
 	delivered bool   // the final frame was sent to a reader
-	ended     Ending // empty while it can be read
+	ended     Ending // empty while the stream can be read
 
-	reader     uint64    // number of the present reader; an older one has lost its place
-	unreadFrom time.Time // when the reader was lost, zero while there is one
-	changed    chan struct{}
+	reader      uint64    // number of the current reader; readers with lower numbers are replaced
+	unreadSince time.Time // when the reader disconnected; zero while there is one
+	changed     chan struct{}
 }
 
-// broadcast wakes whoever waits for a change.
+// broadcast wakes all goroutines that wait for a change.
 func (s *stream) broadcast() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// text returns the answer tokens from..to.
+// text returns the answer tokens from..to (exclusive).
 func (s *stream) text(from, to int) []byte {
 	return answer.Append(nil, s.hash, from, to)
 }
 
-// view is what a reader needs to know of its stream.
+// view is the state of a stream as needed by a reader.
 type view struct {
 	ready    int
 	cached   int
--- a/standin/time_scale.go
+++ b/standin/time_scale.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// timeScale maps the real time to the time of the engine model and back, so that
-// the prefill of a million tokens can be tested within seconds.
+// timeScale converts between real time and the time of the engine model, so that the
+// prefill of a million tokens can be tested within seconds.
 type timeScale struct {
 	start  time.Time
-	factor float64 // model seconds in a real second
+	factor float64 // model seconds per real second
 }
 
 func newTimeScale(start time.Time, factor float64) timeScale {
--- a/standin/user_timeout.go
+++ b/standin/user_timeout.go
@@ -7,13 +7,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// userTimeout is how long bytes that were sent may stay unacknowledged. Something
-// between the two ends can lose track of a connection: writes then go on into the
-// kernel's buffer and none fails for many minutes, while the work of a reader that
-// is gone keeps its memory. With the timeout the next heartbeat but one fails.
+// userTimeout is the time for which sent data may stay unacknowledged. A device
+// between the two ends can drop the state of a connection. Writes then still succeed
+// into the kernel's buffer for many minutes, while the work of the disconnected
+// reader keeps its memory. After the time-out the kernel fails the connection, and
+// the next write returns an error.
 const userTimeout = 5 * time.Second
 
-// limitUnacknowledged sets the timeout on a TCP connection; others have none.
+// limitUnacknowledged sets the time-out on a TCP connection and ignores other kinds of connection.
 func limitUnacknowledged(conn net.Conn) error {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
