--- a/standin/answer/answer.go
+++ b/standin/answer/answer.go
@@ -1,6 +1,7 @@
-// Package answer is the known answer of the stand-in engine: each token is a
-// function of the prompt and of its position, so that a receiver can tell a
-// whole answer to its own prompt from a short, crossed or damaged one.
+// Package answer defines the answers of the stand-ins. Each token of the engine's
+// answer is a function of the prompt and of the token's position, so that a receiver
+// can distinguish the complete answer to its own prompt from a truncated, swapped or
+// corrupted one.
 package answer
 
 import (
@@ -14,21 +15,21 @@
 // TokenBytes is the length of each token in bytes.
 const TokenBytes = 6
 
-// The ways in which an answer can be wrong.
+// The errors of Check and CheckHash.
 var (
-	// ErrShort means that the answer is the beginning of the right one.
+	// ErrShort means that the text is only the beginning of the right answer.
 	ErrShort = errors.New("answer is short")
-	// ErrDoubled means that more follows after the whole right answer.
+	// ErrDoubled means that more text follows after the complete right answer.
 	ErrDoubled = errors.New("answer goes on after its end")
 	// ErrWrong means that the text is not the answer to this prompt.
 	ErrWrong = errors.New("answer is not the one to this prompt")
 )
 
-// Hash identifies a prompt.
+// Hash returns the hash that identifies a prompt.
 func Hash(prompt string) uint64 { return xxhash.Sum64String(prompt) }
 
-// Append appends the tokens from..to (exclusive) of the answer to the prompt
-// with the hash.
+// Append appends the tokens from..to (exclusive) of the answer to the prompt with
+// the given hash.
 func Append(dst []byte, hash uint64, from, to int) []byte {
 	for i := from; i < to; i++ {
 		dst = appendToken(dst, hash, i)
@@ -56,18 +57,18 @@
 	return append(dst, ' ')
 }
 
-// For returns the whole answer of tokens to the prompt.
+// For returns the complete answer to the prompt with the given number of tokens.
 func For(prompt string, tokens int) string {
 	return string(Append(make([]byte, 0, tokens*TokenBytes), Hash(prompt), 0, tokens))
 }
 
-// Check says what is wrong with a text that was received as the answer of
-// tokens to the prompt; nil means that it is whole and the right one.
+// Check verifies a text that was received as the answer to the prompt with the given
+// number of tokens. It returns nil if the text is the complete right answer.
 func Check(prompt string, tokens int, text string) error {
 	return CheckHash(Hash(prompt), tokens, text)
 }
 
-// CheckHash is Check for a caller that kept only the hash of its prompt.
+// CheckHash is Check for callers that have only the hash of the prompt.
 func CheckHash(hash uint64, tokens int, text string) error {
 	want := string(Append(make([]byte, 0, tokens*TokenBytes), hash, 0, tokens))
 	if text == want {
--- a/standin/answer/answer_test.go
+++ b/standin/answer/answer_test.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-func TestCheckTellsWhatIsWrong(t *testing.T) {
+func TestCheckClassifiesWrongAnswers(t *testing.T) {
 	right := For("fitting history", 40)
 	for _, test := range []struct {
 		name string
@@ -17,8 +17,8 @@
 		{"short", right[:TokenBytes*39], ErrShort},
 		{"empty", "", ErrShort},
 		{"doubled", right + right, ErrDoubled},
-		{"crossed", For("ledger", 40), ErrWrong},
-		{"crossed in the middle", right[:TokenBytes*20] + For("ledger", 40)[TokenBytes*20:], ErrWrong},
+		{"answer to another prompt", For("ledger", 40), ErrWrong},
+		{"second half of another answer", right[:TokenBytes*20] + For("ledger", 40)[TokenBytes*20:], ErrWrong},
 		{"a token missing in the middle", right[:TokenBytes*5] + right[TokenBytes*6:], ErrWrong},
 	} {
 		if got := Check("fitting history", 40, test.text); !errors.Is(got, test.want) {
@@ -31,6 +31,6 @@
 	whole := For("p", 30)
 	parts := Append(Append(nil, Hash("p"), 0, 13), Hash("p"), 13, 30)
 	if string(parts) != whole || len(whole) != 30*TokenBytes {
-		t.Errorf("parts give %q, whole is %q", parts, whole)
+		t.Errorf("the parts give %q, the whole answer is %q", parts, whole)
 	}
 }
