--- a/standin/enginemodel/cache.go
+++ b/standin/enginemodel/cache.go
@@ -6,20 +6,20 @@
 	"celeryport/upstream"
 )
 
-// prefix is one entry of the prefix cache.
+// prefix is an entry of the prefix cache.
 type prefix struct {
 	hash   uint64
 	tokens int
 }
 
-// published is a cache event that waits for its publication.
-type published struct {
+// pendingEvent is a cache event together with its time of publication.
+type pendingEvent struct {
 	at    int64
 	event upstream.CacheEvent
 }
 
-// cache is the prefix cache: least recently used first out. It lives in memory
-// that nothing else needs.
+// cache is the prefix cache, with least-recently-used eviction. It uses only memory
+// that no request or reservation needs.
 type cache struct {
 	limit     int
 	lag       int64
@@ -28,7 +28,7 @@
 	entries   map[uint64]*list.Element
 	order     *list.List // front: most recently used
 	sequence  uint64
-	events    []published
+	events    []pendingEvent
 }
 
 func newCache(c Config) cache {
@@ -51,7 +51,7 @@
 	return element.Value.(*prefix).tokens
 }
 
-// insert adds a prefix if it fits into free memory and evicts older ones for it.
+// insert adds a prefix if it fits into the free memory, and evicts other prefixes if necessary.
 func (c *cache) insert(now int64, hash uint64, tokens, free int) {
 	if hash == 0 || tokens <= 0 || tokens > min(c.limit, free) {
 		return
@@ -69,7 +69,7 @@
 	c.publish(now, upstream.CacheEvent{PrefixHash: hash, Tokens: tokens})
 }
 
-// shrink evicts until at most limit tokens are used.
+// shrink evicts prefixes until at most limit tokens are used.
 func (c *cache) shrink(now int64, limit int) {
 	for c.used > limit {
 		c.evict(now, c.order.Back())
@@ -83,19 +83,19 @@
 	c.publish(now, upstream.CacheEvent{PrefixHash: old.hash, Tokens: old.tokens, Evicted: true})
 }
 
-// publish queues an event, or loses it: engines publish with gaps, which show
-// as jumps of the sequence.
+// publish queues an event, or drops it to simulate the loss of events, which is
+// visible as a gap in the sequence.
 func (c *cache) publish(now int64, event upstream.CacheEvent) {
 	c.sequence++
 	if c.lossOneIn > 0 && c.sequence%uint64(c.lossOneIn) == 0 {
 		return
 	}
 	event.Sequence = c.sequence
-	c.events = append(c.events, published{at: now + c.lag, event: event})
+	c.events = append(c.events, pendingEvent{at: now + c.lag, event: event})
 }
 
-// take returns the events whose time of publication has come.
-func (c *cache) take(now int64) []upstream.CacheEvent {
+// takeDue removes and returns the events that are due for publication.
+func (c *cache) takeDue(now int64) []upstream.CacheEvent {
 	due := 0
 	for due < len(c.events) && c.events[due].at <= now {
 		due++
--- a/standin/enginemodel/config.go
+++ b/standin/enginemodel/config.go
@@ -1,27 +1,27 @@
-// Package enginemodel is the small queue model of a model engine: continuous
+// Package enginemodel implements a small queueing model of a model engine: continuous
 // batching with chunked prefill, KV memory, a prefix cache, priorities and
-// cancellation. It is pure; the stand-in engine drives it on the real clock and
-// the bench on a virtual one.
+// cancellation. It performs no I/O and reads no clock: the stand-in engine runs it in
+// real time and the bench in virtual time.
 package enginemodel
 
 import "time"
 
-// Config holds the constants of one engine.
+// Config holds the parameters of an engine.
 type Config struct {
-	PrefillRate       float64       // prompt tokens a second, all requests together
-	Chunk             int           // most prompt tokens of one iteration
-	DecodeStep        time.Duration // time of one iteration that only decodes
-	MaxRunning        int           // most requests in one batch
-	MemoryTokens      int           // KV memory
-	CacheTokens       int           // part of the memory that the prefix cache may use while nothing else needs it
-	CacheLag          time.Duration // cache events are published so much later
-	CacheLossOneIn    int           // one in so many cache events is lost, 0: none
-	LoadLag           time.Duration // load reports are so old
-	FirstAndLastOnly  bool          // only the first Token and Finished are emitted, so that whole stretches are skipped
-	ReservationsLimit int           // most reservations and exports at one time
+	PrefillRate       float64       // prompt tokens per second over all requests
+	Chunk             int           // maximum number of prompt tokens per iteration
+	DecodeStep        time.Duration // duration of an iteration without prefill
+	MaxRunning        int           // maximum number of requests in a batch
+	MemoryTokens      int           // KV memory in tokens
+	CacheTokens       int           // maximum memory of the prefix cache, which uses only otherwise unused memory
+	CacheLag          time.Duration // delay of the publication of cache events
+	CacheLossOneIn    int           // one of this number of cache events is lost; 0: none
+	LoadLag           time.Duration // age of the load reports
+	FirstAndLastOnly  bool          // emit only the first Token event and Finished, so that series of equal iterations can be skipped
+	ReservationsLimit int           // maximum number of simultaneous reservations and exports
 }
 
-// The constants of an engine of today's deployments.
+// Defaults, which match an engine of today's deployments.
 const (
 	defaultPrefillRate       = 20_000
 	defaultChunk             = 2048
@@ -34,8 +34,8 @@
 	defaultReservationsLimit = 256
 )
 
-// DefaultConfig returns the constants of an engine with 400,000 tokens of
-// memory that prefills 20,000 tokens a second.
+// DefaultConfig returns the parameters of an engine that has 400,000 tokens of memory
+// and prefills 20,000 tokens per second.
 func DefaultConfig() Config {
 	return Config{
 		PrefillRate:       defaultPrefillRate,
@@ -50,8 +50,8 @@
 	}
 }
 
-// withDefaults fills what every engine must have; zero is a meaning of its own
-// for the cache, the lags and the loss.
+// withDefaults replaces missing values by the defaults, except for the cache size, the
+// lags and the event loss, for which zero is a valid value.
 func (c Config) withDefaults() Config {
 	d := DefaultConfig()
 	if c.PrefillRate <= 0 {
--- a/standin/enginemodel/engine.go
+++ b/standin/enginemodel/engine.go
@@ -6,33 +6,33 @@
 	"celeryport/upstream"
 )
 
-// Engine is one engine. Its methods take the time, which must not go back. It
-// is not safe for concurrent use.
+// Engine is the model of one engine. Its methods take the current time, which must
+// not decrease between calls. It is not safe for concurrent use.
 type Engine struct {
 	config   Config
 	epoch    time.Time
-	now      int64 // nanoseconds since epoch, as all times inside
+	now      int64 // nanoseconds since epoch, like all internal times
 	sequence uint64
 
 	tasks      map[string]*task
 	waiting    waiting
-	prefilling []*task // running, in order of priority and arrival
-	decoding   []*task // running, in order of their first token
-	spare      []*task // finished tasks for reuse
-	held       int     // memory of running tasks
+	prefilling []*task // running tasks in prefill, in order of priority and arrival
+	decoding   []*task // running tasks that decode, in order of their first token
+	released   []*task // released tasks for reuse
+	held       int     // memory of the running tasks in tokens
 	reserved   reservations
 	cache      cache
 
-	stretch stretch
-	speed   float64
-	frozen  int64 // work left of the stretch, in time at full speed, while speed is 0
+	phase  phase
+	speed  float64
+	frozen int64 // while speed is 0: remaining time of the phase at speed 1
 
-	events []Event
-	taken  bool // events were returned and may be overwritten
-	load   loadLog
+	events         []Event
+	eventsReturned bool // the events were returned by Advance and may be overwritten
+	load           loadLog
 }
 
-// New returns an idle engine. Constants that are missing in cfg get defaults.
+// New returns an idle engine. Missing values in cfg are replaced by defaults.
 func New(cfg Config, now time.Time) *Engine {
 	cfg = cfg.withDefaults()
 	return &Engine{
@@ -45,13 +45,13 @@
 	}
 }
 
-// Config returns the constants of the engine.
+// Config returns the parameters of the engine.
 func (e *Engine) Config() Config { return e.config }
 
-// Submit gives the engine a job. The error is one of ErrInvalid, ErrTooLarge and
-// ErrDuplicate, and nothing was run then.
+// Submit adds a job to the queue of the engine. If it returns an error, which is
+// ErrInvalid, ErrTooLarge or ErrDuplicate, the job was not accepted.
 func (e *Engine) Submit(now time.Time, j Job) error {
-	e.begin(now)
+	e.advanceTo(now)
 	if !j.valid() {
 		return ErrInvalid
 	}
@@ -63,84 +63,85 @@
 	}
 	e.sequence++
 	t := e.newTask()
-	*t = task{Job: j, sequence: e.sequence, submitted: e.now, left: j.PromptTokens + j.Offset, made: j.Offset}
+	*t = task{Job: j, sequence: e.sequence, submitted: e.now, prefillLeft: j.PromptTokens + j.Offset, generated: j.Offset}
 	e.tasks[j.ID] = t
 	e.waiting.add(t)
-	e.reconsider()
+	e.replan()
 	return nil
 }
 
-// Cancel ends the job with the id, frees its memory, and frees reservations
-// and exports of the same id. It reports whether there was anything.
+// Cancel aborts the job with the id and frees its memory, and releases the
+// reservations and exports with the same id. It reports whether there were any.
 func (e *Engine) Cancel(now time.Time, id string) bool {
-	e.begin(now)
+	e.advanceTo(now)
 	found := e.reserved.remove(func(r *reservation) bool { return r.id == id }) > 0
 	if t, running := e.tasks[id]; running {
-		e.drop(t)
+		e.removeTask(t)
 		found = true
 	}
 	if found {
-		e.reconsider()
+		e.replan()
 	}
 	return found
 }
 
-// CancelOwner ends everything of the owner and returns how much that was.
+// CancelOwner aborts all jobs and releases all reservations and exports of the owner, and returns
+// their number.
 func (e *Engine) CancelOwner(now time.Time, owner string) int {
-	e.begin(now)
+	e.advanceTo(now)
 	count := e.reserved.remove(func(r *reservation) bool { return r.owner == owner })
 	for _, t := range e.tasks {
 		if t.Owner == owner {
-			e.drop(t)
+			e.removeTask(t)
 			count++
 		}
 	}
 	if count > 0 {
-		e.reconsider()
+		e.replan()
 	}
 	return count
 }
 
-// Adopt gives the job with the id to another owner.
+// Adopt changes the owner of the job with the id.
 func (e *Engine) Adopt(now time.Time, id, owner string) {
-	e.begin(now)
+	e.advanceTo(now)
 	if t := e.tasks[id]; t != nil {
 		t.Owner = owner
 	}
 }
 
-// Advance brings the engine to now and returns all events up to it, in order.
-// The slice is valid until the next call of any method.
+// Advance brings the engine to the time now and returns all events up to it in
+// order. The slice is valid until the next call of any method.
 func (e *Engine) Advance(now time.Time) []Event {
-	e.begin(now)
-	e.taken = true
+	e.advanceTo(now)
+	e.eventsReturned = true
 	return e.events
 }
 
-// Next returns the time of the next change, or the zero time if nothing will
-// change without a call.
+// Next returns the time of the next change, or the zero time if nothing changes
+// without another call.
 func (e *Engine) Next() time.Time {
 	if e.speed == 0 {
 		return time.Time{}
 	}
-	if e.stretch.steps > 0 {
-		return e.epoch.Add(time.Duration(e.stretch.end()))
+	if e.phase.steps > 0 {
+		return e.epoch.Add(time.Duration(e.phase.end()))
 	}
-	until, some := e.reserved.earliest()
-	if some && len(e.waiting) > 0 {
+	until, found := e.reserved.earliest()
+	if found && len(e.waiting) > 0 {
 		return e.epoch.Add(time.Duration(until))
 	}
 	return time.Time{}
 }
 
-// SetSpeed makes the engine slower or faster from now on: at 0.1 everything
-// takes ten times as long, at 0 the engine is frozen.
+// SetSpeed changes the speed of the engine from now on. At 0.1 everything takes ten
+// times as long; at 0 the engine is frozen.
 func (e *Engine) SetSpeed(now time.Time, factor float64) {
-	e.begin(now)
-	e.cut()
+	e.advanceTo(now)
+	e.shortenPhase()
 	work := e.frozen
-	if e.speed > 0 && e.stretch.steps > 0 {
-		work = int64(float64(e.stretch.end()-e.now) * e.speed)
+	if e.speed > 0 && e.phase.steps > 0 {
+		work = int64(float64(e.phase.end()-e.now) * e.speed)
 	}
 	e.speed = max(0, factor)
 	e.frozen = work
@@ -148,49 +149,49 @@
 		return
 	}
 	e.frozen = 0
-	if e.stretch.steps > 0 {
-		e.stretch.step = max(1, e.now+int64(float64(work)/e.speed)-e.stretch.start)
+	if e.phase.steps > 0 {
+		e.phase.step = max(1, e.now+int64(float64(work)/e.speed)-e.phase.start)
 		return
 	}
-	e.startStretch()
+	e.startPhase()
 }
 
-// CacheEvents returns the cache events that were published since the last call.
+// CacheEvents returns the cache events published since the last call.
 func (e *Engine) CacheEvents(now time.Time) []upstream.CacheEvent {
-	e.begin(now)
-	return e.cache.take(e.now)
+	e.advanceTo(now)
+	return e.cache.takeDue(e.now)
 }
 
 // Cached returns the cached tokens of a prefix, 0 if it is not cached.
 func (e *Engine) Cached(now time.Time, hash uint64) int {
-	e.begin(now)
+	e.advanceTo(now)
 	return e.cache.lookup(hash)
 }
 
-// Import puts a prefix that another engine exported into the cache. It reports
-// whether the prefix is cached afterwards.
+// Import adds a prefix that another engine exported to the cache. It reports whether
+// the prefix is cached afterwards.
 func (e *Engine) Import(now time.Time, hash uint64, tokens int) bool {
-	e.begin(now)
+	e.advanceTo(now)
 	e.cache.insert(e.now, hash, tokens, e.free())
 	return e.cache.lookup(hash) >= tokens
 }
 
-// begin brings the state to now at the start of each call.
-func (e *Engine) begin(now time.Time) {
-	if e.taken {
+// advanceTo brings the state to the time now. Every exported method that takes the time calls it first.
+func (e *Engine) advanceTo(now time.Time) {
+	if e.eventsReturned {
 		e.events = e.events[:0]
-		e.taken = false
+		e.eventsReturned = false
 	}
 	e.run(max(e.now, int64(now.Sub(e.epoch))))
 }
 
-// newTask reuses a finished task.
+// newTask returns a task, which is a released one if there is any.
 func (e *Engine) newTask() *task {
-	if len(e.spare) == 0 {
+	if len(e.released) == 0 {
 		return new(task)
 	}
-	last := len(e.spare) - 1
-	t := e.spare[last]
-	e.spare = e.spare[:last]
+	last := len(e.released) - 1
+	t := e.released[last]
+	e.released = e.released[:last]
 	return t
 }
--- a/standin/enginemodel/engine_test.go
+++ b/standin/enginemodel/engine_test.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// finishTimes runs until nothing changes any more.
+// finishTimes runs the engine until nothing changes any more, and returns when each job emitted its
+// first token and when it finished.
 func finishTimes(e *Engine) (first, last map[string]time.Duration) {
 	first, last = map[string]time.Duration{}, map[string]time.Duration{}
 	for next := e.Next(); !next.IsZero(); next = e.Next() {
@@ -47,10 +48,10 @@
 	return first, last
 }
 
-// A long prompt takes its memory and prefills for many iterations. If a counter
-// question that comes later had to wait for its end, the client at the counter
-// would wait half a minute for the first word.
-func TestUrgentPromptCutsIntoLongPrefill(t *testing.T) {
+// A long prompt prefills for many iterations. If an urgent prompt that is submitted
+// later had to wait for the end of the prefill, its caller would wait half a minute
+// for the first token.
+func TestUrgentPromptInterruptsLongPrefill(t *testing.T) {
 	e := New(DefaultConfig(), epoch)
 	_ = e.Submit(epoch, Job{ID: "ledger", PromptTokens: 300_000, OutputTokens: 10})
 	asked := epoch.Add(time.Second)
@@ -64,8 +65,9 @@
 	}
 }
 
-// Small prompts fit into the memory that a large one still waits for. If each of
-// them slipped past, the large one would never start while they keep coming.
+// Small prompts fit into the free memory while a large one still waits for more. If
+// they could overtake it, the large prompt would not start as long as small ones keep
+// arriving.
 func TestLargeHeadIsNotStarved(t *testing.T) {
 	e := New(smallConfig(), epoch)
 	_ = e.Submit(epoch, Job{ID: "running", PromptTokens: 30_000, OutputTokens: 50})
@@ -76,12 +78,12 @@
 	first, _ := finishTimes(e)
 	for id, at := range first {
 		if id != "running" && id != "large" && at < first["large"] {
-			t.Errorf("%s came before the large prompt", id)
+			t.Errorf("%s started before the large prompt", id)
 		}
 	}
 }
 
-func TestPrefixCacheShortensPrefillAndGivesWay(t *testing.T) {
+func TestPrefixCacheShortensPrefillAndIsEvictedOnDemand(t *testing.T) {
 	e := New(smallConfig(), epoch)
 	job := Job{ID: "a", PromptTokens: 9000, OutputTokens: 1, PrefixHash: 7, PrefixTokens: 8000}
 	_ = e.Submit(epoch, job)
@@ -102,9 +104,9 @@
 	}
 }
 
-// An instance that reserved memory for a span dies and never frees it. Without
-// the lapse of its lease the waiting prompt, and all behind it, would hang.
-func TestReservationOfDeadOwnerLapses(t *testing.T) {
+// An instance that reserved memory for a span crashes and never releases it. If the
+// lease did not expire, the waiting prompt and all behind it would hang.
+func TestReservationOfCrashedOwnerExpires(t *testing.T) {
 	e := New(smallConfig(), epoch)
 	e.Reserve(epoch, "span", "dead", 50_000, 5*time.Second)
 	_ = e.Submit(epoch, Job{ID: "a", PromptTokens: 20_000, OutputTokens: 1})
@@ -114,9 +116,9 @@
 	}
 }
 
-// The same death while another stream decodes for a long time: the engine skips
-// over that stream's tokens and must still notice the lapse in between.
-func TestReservationLapsesDuringLongDecode(t *testing.T) {
+// The same crash while another stream decodes for a long time: the engine skips over
+// the tokens of that stream and must still process the expiry of the lease in between.
+func TestReservationExpiresDuringLongDecode(t *testing.T) {
 	e := New(smallConfig(), epoch)
 	_ = e.Submit(epoch, Job{ID: "long", PromptTokens: 100, OutputTokens: 5000})
 	e.Reserve(epoch, "span", "dead", 50_000, 5*time.Second)
@@ -127,10 +129,10 @@
 	}
 }
 
-// A whole prompt of half a million tokens has its memory reserved on several
-// engines, and its leading part queues behind a prompt that does not fit beside
-// the reservation. Each would wait for the other while the owner renews its lease,
-// and all behind them with it.
+// The memory for a spread prompt is reserved on several engines, and its leading part
+// queues behind a prompt that does not fit beside the reservation. If the leading part
+// had to wait for that prompt, the two would block each other, and all prompts behind
+// them, as long as the owner renews its lease.
 func TestReservedTaskDoesNotWaitBehindOneThatNeedsItsMemory(t *testing.T) {
 	e := New(smallConfig(), epoch)
 	e.Reserve(epoch, "span", "o", 30_000, time.Hour)
--- a/standin/enginemodel/event.go
+++ b/standin/enginemodel/event.go
@@ -6,17 +6,17 @@
 type EventKind uint8
 
 const (
-	// Token says that one more answer token is ready.
+	// Token means that another answer token is ready.
 	Token EventKind = iota
-	// Finished says that the job is complete and its memory is free.
+	// Finished means that the job is complete and its memory is free.
 	Finished
 )
 
-// Event is one thing that happened on the engine.
+// Event is the progress of a job.
 type Event struct {
 	At     time.Time
 	Kind   EventKind
 	ID     string
-	Offset int // answer tokens ready, this one included
-	Cached int // prompt tokens taken from the prefix cache
+	Offset int // number of answer tokens ready, including this one
+	Cached int // number of prompt tokens taken from the prefix cache
 }
--- a/standin/enginemodel/job.go
+++ b/standin/enginemodel/job.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Job is one request on the engine.
+// Job is a request to the engine.
 type Job struct {
 	ID           string // request id and attempt
 	Owner        string // instance and incarnation
-	Priority     int    // higher runs first, first come first served within
+	Priority     int    // jobs of higher priority run first, those of equal priority in order of arrival
 	PromptTokens int
 	OutputTokens int
 	PrefixHash   uint64
 	PrefixTokens int
-	Offset       int     // answer tokens that need not be sent again; they are prefilled with the prompt
-	MemoryTokens int     // memory to hold here, for a part of a span; 0: prompt and output
+	Offset       int     // number of answer tokens already sent, which are prefilled together with the prompt
+	MemoryTokens int     // memory to hold on this engine for a part of a span; 0: enough for prompt and output
 	SpanSpeedup  float64 // prefill speed relative to one engine, for the leading part of a span; 0 means 1
 }
 
-// memory is what the job holds while it runs.
+// memory returns the memory in tokens that the job holds while it runs.
 func (j *Job) memory() int {
 	if j.MemoryTokens > 0 {
 		return j.MemoryTokens
@@ -24,7 +24,7 @@
 	return j.PromptTokens + j.OutputTokens
 }
 
-// valid reports whether the job can run at all.
+// valid reports whether the parameters of the job are valid.
 func (j *Job) valid() bool {
 	return j.ID != "" && j.PromptTokens > 0 && j.OutputTokens > 0 &&
 		j.Offset >= 0 && j.Offset < j.OutputTokens && j.MemoryTokens >= 0 && j.SpanSpeedup >= 0
@@ -33,17 +33,17 @@
 // task is a job with its progress on the engine.
 type task struct {
 	Job
-	sequence  uint64 // order of arrival
-	submitted int64
-	index     int // position in the waiting heap, notWaiting once it runs
-	begun     bool
-	left      int // prompt tokens to prefill
-	share     int // prompt tokens that it prefills in each step of the present stretch
-	cached    int // prompt tokens taken from the prefix cache
-	made      int // answer tokens ready
+	sequence       uint64 // order of arrival
+	submitted      int64
+	index          int  // position in the waiting heap, or notWaiting once the task runs
+	prefillStarted bool // the prefill has started
+	prefillLeft    int  // prompt tokens still to prefill
+	share          int  // prompt tokens to prefill in each step of the current phase
+	cached         int  // prompt tokens taken from the prefix cache
+	generated      int  // answer tokens generated so far
 }
 
-// notWaiting is the index of a task that runs.
+// notWaiting is the index of a running task.
 const notWaiting = -1
 
 // before orders tasks by priority, then by arrival.
@@ -54,7 +54,7 @@
 	return t.sequence < other.sequence
 }
 
-// prefillSeconds is the time that tokens of this task's prompt take.
+// prefillSeconds returns the time for the prefill of the given number of tokens of the prompt.
 func (t *task) prefillSeconds(tokens int, rate float64) float64 {
 	if t.SpanSpeedup > 0 {
 		rate *= t.SpanSpeedup
@@ -62,19 +62,19 @@
 	return float64(tokens) / rate
 }
 
-// HoldingKind tells what holds memory.
+// HoldingKind is the kind of a Holding.
 type HoldingKind uint8
 
 const (
 	// HeldByRequest is memory of a running request.
 	HeldByRequest HoldingKind = iota
-	// HeldByReservation is memory of one part of a span.
+	// HeldByReservation is memory reserved for one part of a span.
 	HeldByReservation
-	// HeldByExport is memory of a KV export that was not fetched yet.
+	// HeldByExport is memory of a KV export whose lease has not ended.
 	HeldByExport
 )
 
-// Holding is one thing that holds memory.
+// Holding is a request, reservation or export that holds memory.
 type Holding struct {
 	ID     string
 	Owner  string
--- a/standin/enginemodel/load.go
+++ b/standin/enginemodel/load.go
@@ -7,14 +7,14 @@
 	"celeryport/upstream"
 )
 
-// loadSample is the load as it was at a time.
+// loadSample is the load at a point in time.
 type loadSample struct {
 	at   int64
 	load upstream.Load
 }
 
-// loadLog keeps the samples that later reports are made of: an engine reports
-// its load with a lag.
+// loadLog stores samples of the load for later reports, because an engine reports its
+// load with a lag.
 type loadLog struct {
 	lag         int64
 	chunk       int
@@ -23,10 +23,10 @@
 	decodeRate  float64
 }
 
-// samplesPerLag is how finely the lag is resolved.
+// samplesPerLag is the number of samples taken per lag, which is the resolution of the reports.
 const samplesPerLag = 4
 
-// rateWeight is the weight of the newest measurement in the smoothed rates.
+// rateWeight is the weight of the latest measurement in the exponentially smoothed rates.
 const rateWeight = 0.2
 
 func newLoadLog(c Config) loadLog {
@@ -39,24 +39,24 @@
 	}
 }
 
-// measure smooths the rates over a few equal steps.
-func (l *loadLog) measure(s stretch, steps, decodes int) {
+// measure updates the smoothed rates with a number of equal steps.
+func (l *loadLog) measure(p phase, steps, decodes int) {
 	if steps == 0 {
 		return
 	}
-	seconds := time.Duration(s.step).Seconds()
+	seconds := time.Duration(p.step).Seconds()
 	weight := 1 - math.Pow(1-rateWeight, float64(steps))
-	// Small shares measure the fixed part of an iteration, not the prefill.
-	if s.shares > l.chunk/2 {
-		l.prefillRate += weight * (float64(s.shares)/seconds - l.prefillRate)
+	// With small shares the fixed duration of an iteration dominates, not the prefill.
+	if p.shares > l.chunk/2 {
+		l.prefillRate += weight * (float64(p.shares)/seconds - l.prefillRate)
 	}
 	if decodes > 0 {
 		l.decodeRate += weight * (1/seconds - l.decodeRate)
 	}
 }
 
-// note takes a sample if the last one is old enough.
-func (l *loadLog) note(e *Engine, now int64) {
+// addSample adds a sample if the last one is old enough.
+func (l *loadLog) addSample(e *Engine, now int64) {
 	if l.lag == 0 {
 		return
 	}
@@ -67,7 +67,7 @@
 	l.trim(now)
 }
 
-// trim drops the samples that no report needs any more.
+// trim removes the samples that no report needs any more.
 func (l *loadLog) trim(now int64) {
 	old := 0
 	for old+1 < len(l.samples) && l.samples[old+1].at <= now-l.lag {
@@ -76,18 +76,18 @@
 	l.samples = append(l.samples[:0], l.samples[old:]...)
 }
 
-// Load returns the load as it was some time ago, and how long ago.
+// Load returns the load report, whose Age is the time since the load was measured.
 func (e *Engine) Load(now time.Time) upstream.Load {
-	e.begin(now)
-	e.settle()
+	e.advanceTo(now)
+	e.applyElapsed()
 	if e.load.lag == 0 {
 		return e.currentLoad()
 	}
-	e.load.note(e, e.now)
+	e.load.addSample(e, e.now)
 	e.load.trim(e.now)
 	oldest := e.load.samples[0]
 	if oldest.at > e.now-e.load.lag {
-		// Nothing is old enough: report the time before the first sample.
+		// No sample is old enough: report an idle engine, the state before the first sample.
 		return upstream.Load{PrefillRate: e.load.prefillRate, DecodeRate: e.load.decodeRate, Age: time.Duration(e.now)}
 	}
 	report := oldest.load
@@ -95,7 +95,7 @@
 	return report
 }
 
-// currentLoad measures the load now.
+// currentLoad returns the current load.
 func (e *Engine) currentLoad() upstream.Load {
 	load := upstream.Load{
 		Running:     len(e.prefilling) + len(e.decoding),
@@ -105,13 +105,13 @@
 		DecodeRate:  e.load.decodeRate,
 	}
 	for _, t := range e.prefilling {
-		load.QueuedPrefill += t.left
-		if t.begun && t.PromptTokens > e.config.Chunk {
-			load.LongPrefill += t.left
+		load.QueuedPrefill += t.prefillLeft
+		if t.prefillStarted && t.PromptTokens > e.config.Chunk {
+			load.LongPrefill += t.prefillLeft
 		}
 	}
 	for _, t := range e.waiting {
-		load.QueuedPrefill += t.left
+		load.QueuedPrefill += t.prefillLeft
 	}
 	return load
 }
--- a/standin/enginemodel/memory.go
+++ b/standin/enginemodel/memory.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// free returns the tokens that no request and no reservation holds. The prefix
-// cache gives way, so its tokens count as free.
+// free returns the memory in tokens that no request, reservation or export holds. The
+// memory of the prefix cache counts as free, because the cache is evicted on demand.
 func (e *Engine) free() int {
 	return e.config.MemoryTokens - e.held - e.reserved.tokens
 }
 
-// admit lets waiting tasks into the batch in order. A task that does not fit
-// holds back all behind it: smaller ones that slip past would starve it.
+// admit moves waiting tasks into the batch in order. A task that does not fit blocks
+// all tasks behind it, because smaller ones that overtake it could starve it.
 func (e *Engine) admit() {
 	e.admitReserved()
 	for len(e.waiting) > 0 && e.hasSlot() {
@@ -24,10 +24,10 @@
 	}
 }
 
-// admitReserved lets in, in order, the tasks that have all their memory reserved.
-// They take nothing from those ahead of them. If they had to wait behind a task
-// that does not fit, and that task waited for the memory which they hold reserved,
-// neither would ever start, and the engine would stand still.
+// admitReserved admits, in order, the tasks whose memory is fully reserved. They need
+// no memory for which other tasks wait. If they had to wait behind a task that does
+// not fit, and that task waited for their reserved memory, neither would ever start:
+// a deadlock.
 func (e *Engine) admitReserved() {
 	for len(e.waiting) > 0 && len(e.reserved.list) > 0 && e.hasSlot() {
 		var first *task
@@ -47,8 +47,8 @@
 	return len(e.prefilling)+len(e.decoding) < e.config.MaxRunning
 }
 
-// start moves a waiting task into the batch and turns its reservation into its
-// memory.
+// start moves a waiting task into the batch and converts its reservation to memory of
+// the task.
 func (e *Engine) start(t *task) {
 	e.waiting.remove(t)
 	e.reserved.remove(func(r *reservation) bool { return r.reserves(t) })
@@ -57,13 +57,13 @@
 	e.insertPrefilling(t)
 }
 
-// reserves reports whether the reservation was made for the task.
+// reserves reports whether the reservation is for the task.
 func (r *reservation) reserves(t *task) bool {
 	return r.kind == HeldByReservation && r.id == t.ID && r.owner == t.Owner
 }
 
-// reservedFor returns the tokens that were reserved for the task beforehand:
-// the leading part of a span turns its reservation into its own memory.
+// reservedFor returns the memory in tokens that is reserved for the task. The leading
+// part of a span converts its reservation to its own memory when it starts.
 func (e *Engine) reservedFor(t *task) int {
 	for i := range e.reserved.list {
 		if e.reserved.list[i].reserves(t) {
@@ -73,33 +73,33 @@
 	return 0
 }
 
-// release forgets a task that ended and left the running lists.
+// release frees the memory of a task that has been removed from the running lists.
 func (e *Engine) release(t *task) {
 	e.held -= t.memory()
-	e.forget(t)
+	e.recycle(t)
 }
 
-func (e *Engine) forget(t *task) {
+func (e *Engine) recycle(t *task) {
 	delete(e.tasks, t.ID)
 	*t = task{}
-	e.spare = append(e.spare, t)
+	e.released = append(e.released, t)
 }
 
-// drop removes a task from wherever it is.
-func (e *Engine) drop(t *task) {
+// removeTask removes a waiting or running task.
+func (e *Engine) removeTask(t *task) {
 	if t.index != notWaiting {
 		e.waiting.remove(t)
-		e.forget(t)
+		e.recycle(t)
 		return
 	}
-	// The steps that are over still belong to the task.
-	e.settle()
-	e.prefilling = without(e.prefilling, t)
-	e.decoding = without(e.decoding, t)
+	// The completed steps must still be accounted to the task.
+	e.applyElapsed()
+	e.prefilling = removeFrom(e.prefilling, t)
+	e.decoding = removeFrom(e.decoding, t)
 	e.release(t)
 }
 
-func without(tasks []*task, t *task) []*task {
+func removeFrom(tasks []*task, t *task) []*task {
 	at := slices.Index(tasks, t)
 	if at < 0 {
 		return tasks
@@ -107,32 +107,33 @@
 	return slices.Delete(tasks, at, at+1)
 }
 
-// Reserve reserves memory for the id, renews its lease, or frees it when tokens
-// is 0. It lapses after the lease. A reservation is granted whole or not at all;
-// a renewal may change its size. It returns the tokens that are free afterwards.
+// Reserve reserves memory for the id, renews its lease, or releases the reservation if
+// tokens is 0. The reservation expires with its lease. It is granted completely or not
+// at all, and a renewal may change its size. The result free is the free memory in
+// tokens afterwards.
 func (e *Engine) Reserve(now time.Time, id, owner string, tokens int, lease time.Duration) (granted bool, free int) {
 	return e.hold(now, HeldByReservation, id, owner, tokens, lease)
 }
 
-// Export holds the KV of a finished prompt for a fetch by another engine, under
-// the same rules as Reserve.
+// Export holds memory for the KV cache of a prefix until another engine has
+// transferred it, under the same rules as Reserve.
 func (e *Engine) Export(now time.Time, id, owner string, tokens int, lease time.Duration) (granted bool, free int) {
 	return e.hold(now, HeldByExport, id, owner, tokens, lease)
 }
 
 func (e *Engine) hold(now time.Time, kind HoldingKind, id, owner string, tokens int, lease time.Duration) (bool, int) {
-	e.begin(now)
+	e.advanceTo(now)
 	granted := e.tryHold(kind, id, owner, tokens, lease)
 	if granted {
 		e.cache.shrink(e.now, e.free())
-		e.reconsider()
+		e.replan()
 	}
 	return granted, e.free()
 }
 
 func (e *Engine) tryHold(kind HoldingKind, id, owner string, tokens int, lease time.Duration) bool {
 	if t := e.tasks[id]; t != nil && kind == HeldByReservation && t.index == notWaiting {
-		// The reservation became the memory of its running request, which frees it.
+		// The reservation has become memory of the running request, which frees it at its end.
 		return t.Owner == owner
 	}
 	since, had := e.now, 0
@@ -155,10 +156,10 @@
 	return true
 }
 
-// Holdings returns all that holds memory: running requests in order of arrival,
-// then reservations and exports.
+// Holdings returns the running requests in order of arrival, followed by the
+// reservations and exports.
 func (e *Engine) Holdings(now time.Time) []Holding {
-	e.begin(now)
+	e.advanceTo(now)
 	held := make([]Holding, 0, len(e.prefilling)+len(e.decoding)+len(e.reserved.list))
 	for _, t := range e.running() {
 		held = append(held, Holding{
--- a/standin/enginemodel/phase.go
+++ b/standin/enginemodel/phase.go
@@ -6,50 +6,50 @@
 	"time"
 )
 
-// stretch is a number of equal iterations (steps) in which nothing happens but
-// that prefill goes on by the same chunk and each stream decodes one token a
-// step. Only the end of its last step may bring an event, so that the engine
-// skips ahead over the whole stretch at once.
-type stretch struct {
+// phase is a series of equal iterations (steps), in each of which the prefill
+// advances by the same chunk and each stream decodes one token. Only the end of the
+// last step can change the batch or emit an event, so the engine can process the
+// whole series at once.
+type phase struct {
 	start  int64
-	step   int64 // time of one step
-	steps  int   // 0: no iteration under way
-	shares int   // tokens that are prefilled in each step
+	step   int64 // duration of one step
+	steps  int   // remaining steps; 0: no iteration is running
+	shares int   // prompt tokens prefilled in each step
 }
 
-func (s *stretch) end() int64 { return s.start + int64(s.steps)*s.step }
+func (p *phase) end() int64 { return p.start + int64(p.steps)*p.step }
 
-// run brings the engine to the time.
+// run advances the engine to the time now.
 func (e *Engine) run(now int64) {
 	for e.speed > 0 {
-		if e.stretch.steps == 0 && !e.wake(now) {
+		if e.phase.steps == 0 && !e.resumeAfterExpiry(now) {
 			break
 		}
-		if e.stretch.end() > now {
+		if e.phase.end() > now {
 			break
 		}
-		e.finishStretch()
-		e.load.note(e, e.now)
-		e.startStretch()
+		e.finishPhase()
+		e.load.addSample(e, e.now)
+		e.startPhase()
 	}
 	e.now = now
 	e.reserved.expire(now)
 }
 
-// wake starts the engine if a lapsed reservation lets a waiting task in.
-func (e *Engine) wake(now int64) bool {
-	until, some := e.reserved.earliest()
-	if len(e.waiting) == 0 || !some || until > now {
+// resumeAfterExpiry starts an idle engine if the expiry of a reservation allows a waiting task to start.
+func (e *Engine) resumeAfterExpiry(now int64) bool {
+	until, found := e.reserved.earliest()
+	if len(e.waiting) == 0 || !found || until > now {
 		return false
 	}
 	e.now = until
-	e.startStretch()
-	return e.stretch.steps > 0 || e.wake(now)
+	e.startPhase()
+	return e.phase.steps > 0 || e.resumeAfterExpiry(now)
 }
 
-// startStretch lets waiting tasks in and plans the next iterations at e.now.
-func (e *Engine) startStretch() {
-	e.stretch = stretch{}
+// startPhase admits waiting tasks and plans the next iterations from e.now.
+func (e *Engine) startPhase() {
+	e.phase = phase{}
 	if e.speed == 0 {
 		return
 	}
@@ -60,16 +60,16 @@
 	}
 	tokens, seconds := e.sharePrefill()
 	step := (e.config.DecodeStep.Seconds() + seconds) / e.speed
-	e.stretch = stretch{
+	e.phase = phase{
 		start:  e.now,
 		step:   max(1, int64(step*float64(time.Second))),
 		shares: tokens,
 	}
-	e.stretch.steps = e.equalSteps()
+	e.phase.steps = e.equalSteps()
 }
 
-// sharePrefill gives the chunk of one iteration to the prefilling tasks by
-// priority and arrival.
+// sharePrefill distributes the chunk of one iteration among the prefilling tasks in
+// order of priority and arrival.
 func (e *Engine) sharePrefill() (tokens int, seconds float64) {
 	budget := e.config.Chunk
 	for _, t := range e.prefilling {
@@ -78,24 +78,25 @@
 			continue
 		}
 		e.beginPrefill(t)
-		t.share = min(budget, t.left)
+		t.share = min(budget, t.prefillLeft)
 		budget -= t.share
 		seconds += t.prefillSeconds(t.share, e.config.PrefillRate)
 	}
 	return e.config.Chunk - budget, seconds
 }
 
-// beginPrefill takes what the prefix cache holds of a prompt that begins now.
+// beginPrefill starts the prefill of a task and skips the part of the prompt that is in the prefix
+// cache.
 func (e *Engine) beginPrefill(t *task) {
-	if t.begun {
+	if t.prefillStarted {
 		return
 	}
-	t.begun = true
+	t.prefillStarted = true
 	t.cached = min(e.cache.lookup(t.PrefixHash), t.PrefixTokens, t.PromptTokens-1)
-	t.left -= t.cached
+	t.prefillLeft -= t.cached
 }
 
-// equalSteps says for how many iterations nothing changes.
+// equalSteps returns the number of iterations until the batch changes.
 func (e *Engine) equalSteps() int {
 	if !e.config.FirstAndLastOnly && len(e.decoding) > 0 {
 		return 1
@@ -106,74 +107,75 @@
 		if first.share < e.config.Chunk {
 			return 1
 		}
-		steps = first.left / e.config.Chunk
+		steps = first.prefillLeft / e.config.Chunk
 	}
 	for _, t := range e.decoding {
-		steps = min(steps, t.OutputTokens-t.made)
+		steps = min(steps, t.OutputTokens-t.generated)
 	}
-	if until, some := e.reserved.earliest(); some && len(e.waiting) > 0 {
-		lapse := (until - e.now + e.stretch.step - 1) / e.stretch.step
+	if until, found := e.reserved.earliest(); found && len(e.waiting) > 0 {
+		lapse := (until - e.now + e.phase.step - 1) / e.phase.step
 		steps = int(min(int64(steps), lapse))
 	}
 	return max(1, steps)
 }
 
-// apply accounts for whole steps of the present stretch.
+// apply accounts for a number of completed steps of the current phase.
 func (e *Engine) apply(steps int) {
 	for _, t := range e.prefilling {
-		t.left -= steps * t.share
+		t.prefillLeft -= steps * t.share
 	}
 	for _, t := range e.decoding {
-		t.made += steps
+		t.generated += steps
 	}
-	e.load.measure(e.stretch, steps, len(e.decoding))
-	e.stretch.start += int64(steps) * e.stretch.step
-	e.stretch.steps -= steps
+	e.load.measure(e.phase, steps, len(e.decoding))
+	e.phase.start += int64(steps) * e.phase.step
+	e.phase.steps -= steps
 }
 
-// settle accounts for the steps that are over at e.now; the stretch goes on.
-func (e *Engine) settle() {
-	if e.stretch.steps <= 1 || e.speed == 0 {
+// applyElapsed accounts for the steps completed by e.now; the phase continues.
+func (e *Engine) applyElapsed() {
+	if e.phase.steps <= 1 || e.speed == 0 {
 		return
 	}
-	over := int((e.now - e.stretch.start) / e.stretch.step)
+	over := int((e.now - e.phase.start) / e.phase.step)
 	if over > 0 {
-		e.apply(min(over, e.stretch.steps-1))
+		e.apply(min(over, e.phase.steps-1))
 	}
 }
 
-// cut ends the stretch with the step under way.
-func (e *Engine) cut() {
-	e.settle()
-	e.stretch.steps = min(1, e.stretch.steps)
+// shortenPhase shortens the phase to end with the running step.
+func (e *Engine) shortenPhase() {
+	e.applyElapsed()
+	e.phase.steps = min(1, e.phase.steps)
 }
 
-// reconsider is called after a change from outside: the step under way goes on
-// and the next one is planned anew.
-func (e *Engine) reconsider() {
-	e.cut()
-	if e.stretch.steps == 0 {
-		e.startStretch()
+// replan is called after an external change: the running step continues, and the
+// following steps are planned again.
+func (e *Engine) replan() {
+	e.shortenPhase()
+	if e.phase.steps == 0 {
+		e.startPhase()
 	}
 }
 
-// finishStretch applies the rest of the stretch and emits its events.
-func (e *Engine) finishStretch() {
+// finishPhase applies the remaining steps of the phase and emits its events.
+func (e *Engine) finishPhase() {
 	decodes := len(e.decoding)
-	e.now = e.stretch.end()
-	e.apply(e.stretch.steps)
+	e.now = e.phase.end()
+	e.apply(e.phase.steps)
 	e.emitDecoded(decodes)
 	e.emitFirst()
 }
 
-// emitDecoded emits the tokens of the streams that decoded in the last step.
+// emitDecoded emits the tokens of the first count decoding tasks, which decoded in the last step, and
+// releases the finished ones.
 func (e *Engine) emitDecoded(count int) {
 	kept := e.decoding[:0]
 	for _, t := range e.decoding[:count] {
 		if !e.config.FirstAndLastOnly {
 			e.emit(Token, t)
 		}
-		if t.made < t.OutputTokens {
+		if t.generated < t.OutputTokens {
 			kept = append(kept, t)
 			continue
 		}
@@ -184,19 +186,19 @@
 	e.decoding = kept
 }
 
-// emitFirst moves the tasks whose prefill ended to the decoding ones. The
-// iteration that ends the prefill yields the first token.
+// emitFirst emits the first token of the tasks whose prefill is complete and moves them
+// to the decoding tasks. The last iteration of the prefill yields the first token.
 func (e *Engine) emitFirst() {
 	kept := e.prefilling[:0]
 	for _, t := range e.prefilling {
-		if t.left > 0 {
+		if t.prefillLeft > 0 {
 			kept = append(kept, t)
 			continue
 		}
-		t.made++
+		t.generated++
 		e.cache.insert(e.now, t.PrefixHash, min(t.PrefixTokens, t.PromptTokens), e.free())
 		e.emit(Token, t)
-		if t.made < t.OutputTokens {
+		if t.generated < t.OutputTokens {
 			e.decoding = append(e.decoding, t)
 			continue
 		}
@@ -209,10 +211,10 @@
 
 func (e *Engine) emit(kind EventKind, t *task) {
 	at := e.epoch.Add(time.Duration(e.now))
-	e.events = append(e.events, Event{At: at, Kind: kind, ID: t.ID, Offset: t.made, Cached: t.cached})
+	e.events = append(e.events, Event{At: at, Kind: kind, ID: t.ID, Offset: t.generated, Cached: t.cached})
 }
 
-// insertPrefilling keeps the prefilling tasks in order.
+// insertPrefilling inserts a task in order of priority and arrival.
 func (e *Engine) insertPrefilling(t *task) {
 	at := sort.Search(len(e.prefilling), func(i int) bool { return t.before(e.prefilling[i]) })
 	e.prefilling = append(e.prefilling, nil)
--- a/standin/enginemodel/reservation.go
+++ b/standin/enginemodel/reservation.go
@@ -1,16 +1,17 @@
 package enginemodel
 
-// reservation is leased memory: a part of a span, or a KV export.
+// reservation is memory under a lease, for a part of a span or a KV export.
 type reservation struct {
 	id     string
 	owner  string
 	kind   HoldingKind
 	tokens int
 	since  int64
-	until  int64 // it lapses then
+	until  int64 // expiry of the lease
 }
 
-// reservations are few, so a slice in order of their creation serves.
+// reservations holds the reservations in order of creation. There are few of them, so a linear search
+// is sufficient.
 type reservations struct {
 	list   []reservation
 	tokens int
@@ -30,7 +31,7 @@
 	r.tokens += n.tokens
 }
 
-// remove drops what the test matches and returns how many those were.
+// remove removes the matching reservations and returns their number.
 func (r *reservations) remove(matches func(*reservation) bool) int {
 	kept := r.list[:0]
 	for i := range r.list {
@@ -46,8 +47,8 @@
 	return removed
 }
 
-// expire drops what lapsed. An owner that died never frees its memory; the
-// lapse of the lease is what gives it back.
+// expire removes the reservations whose lease has expired. A crashed owner never
+// releases its reservations; only the expiry of the lease frees their memory.
 func (r *reservations) expire(now int64) {
 	if len(r.list) == 0 {
 		return
@@ -55,12 +56,12 @@
 	r.remove(func(one *reservation) bool { return one.until <= now })
 }
 
-// earliest returns the next time at which one lapses.
-func (r *reservations) earliest() (until int64, some bool) {
+// earliest returns the earliest expiry of a lease, if there is any.
+func (r *reservations) earliest() (until int64, found bool) {
 	for i := range r.list {
-		if !some || r.list[i].until < until {
-			until, some = r.list[i].until, true
+		if !found || r.list[i].until < until {
+			until, found = r.list[i].until, true
 		}
 	}
-	return until, some
+	return until, found
 }
--- a/standin/enginemodel/schedule_test.go
+++ b/standin/enginemodel/schedule_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// operation is one call of a random schedule.
+// operation is one call in a random schedule.
 type operation struct {
 	at    time.Duration
 	kind  string
@@ -52,15 +52,15 @@
 	}
 }
 
-// play runs a schedule; stepwise forces the engine to go one iteration at a
-// time, which is the naive way that the skipping must agree with.
-func play(t *rapid.T, operations []operation, stepwise bool) []Event {
+// runSchedule runs a schedule and returns its events. With stepwise, the engine advances by
+// single iterations, which is the reference for skipping over equal iterations.
+func runSchedule(t *rapid.T, operations []operation, stepwise bool) []Event {
 	e := New(smallConfig(), epoch)
 	var events []Event
 	advance := func(until time.Time) {
 		for {
 			if stepwise {
-				e.stretch.steps = min(1, e.stretch.steps)
+				e.phase.steps = min(1, e.phase.steps)
 			}
 			next := e.Next()
 			if next.IsZero() || next.After(until) {
@@ -92,7 +92,7 @@
 	e.SetSpeed(last, 1)
 	advance(last.Add(time.Hour))
 	if len(e.tasks) != 0 || len(e.Holdings(last.Add(time.Hour))) != 0 {
-		t.Fatalf("after an hour %d tasks and %v are left", len(e.tasks), e.Holdings(last.Add(time.Hour)))
+		t.Fatalf("after an hour %d tasks and the holdings %v remain", len(e.tasks), e.Holdings(last.Add(time.Hour)))
 	}
 	return events
 }
@@ -103,23 +103,23 @@
 		held += h.Tokens
 	}
 	if held+e.cache.used > e.config.MemoryTokens || held != e.held+e.reserved.tokens {
-		t.Fatalf("held %d (accounts %d+%d), cache %d of %d", held, e.held, e.reserved.tokens, e.cache.used, e.config.MemoryTokens)
+		t.Fatalf("held %d (accounted %d+%d), cache %d of %d", held, e.held, e.reserved.tokens, e.cache.used, e.config.MemoryTokens)
 	}
 	running := len(e.prefilling) + len(e.decoding)
 	if running > e.config.MaxRunning {
-		t.Fatalf("%d running", running)
+		t.Fatalf("%d tasks running, more than MaxRunning", running)
 	}
-	if e.speed > 0 && e.stretch.steps == 0 {
+	if e.speed > 0 && e.phase.steps == 0 {
 		checkIdle(t, e)
 	}
 	for i, task := range e.prefilling {
-		if i > 0 && (!e.prefilling[i-1].before(task) || task.share > 0 && e.prefilling[i-1].share < e.prefilling[i-1].left && e.prefilling[i-1].share < e.config.Chunk) {
-			t.Fatalf("task %d prefills before a more urgent one is through", i)
+		if i > 0 && (!e.prefilling[i-1].before(task) || task.share > 0 && e.prefilling[i-1].share < e.prefilling[i-1].prefillLeft && e.prefilling[i-1].share < e.config.Chunk) {
+			t.Fatalf("task %d prefills before a more urgent one has its full share", i)
 		}
 	}
 }
 
-// checkIdle fails if an engine that does nothing has work that could start.
+// checkIdle fails if an idle engine has waiting work that could start.
 func checkIdle(t *rapid.T, e *Engine) {
 	for _, task := range e.waiting {
 		if len(e.reserved.list) == 0 || e.reservedFor(task) >= task.memory() {
@@ -131,8 +131,8 @@
 func TestSkippingAgreesWithSingleIterations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		operations := drawOperations(t)
-		skipped := play(t, operations, false)
-		stepped := play(t, operations, true)
+		skipped := runSchedule(t, operations, false)
+		stepped := runSchedule(t, operations, true)
 		if !slices.Equal(skipped, stepped) {
 			t.Fatalf("skipping gives\n%v\nsingle iterations give\n%v", skipped, stepped)
 		}
--- a/standin/enginemodel/waiting.go
+++ b/standin/enginemodel/waiting.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// waiting is the heap of the tasks that wait for memory or a place in the batch.
+// waiting is a heap of the tasks that wait for memory or a slot in the batch.
 type waiting []*task
 
 // Len implements heap.Interface.
