--- a/standin/enginemodel/engine.go
+++ b/standin/enginemodel/engine.go
@@ -176,7 +176,8 @@
 	return e.cache.lookup(hash) >= tokens
 }
 
-// advanceTo brings the state to the time now. Every exported method that takes the time calls it first.
+// advanceTo brings the state to the time now. Every exported method that takes the time calls it
+// first.
 func (e *Engine) advanceTo(now time.Time) {
 	if e.eventsReturned {
 		e.events = e.events[:0]
--- a/standin/enginemodel/phase.go
+++ b/standin/enginemodel/phase.go
@@ -36,7 +36,8 @@
 	e.reserved.expire(now)
 }
 
-// resumeAfterExpiry starts an idle engine if the expiry of a reservation allows a waiting task to start.
+// resumeAfterExpiry starts an idle engine if the expiry of a reservation allows a waiting task to
+// start.
 func (e *Engine) resumeAfterExpiry(now int64) bool {
 	until, found := e.reserved.earliest()
 	if len(e.waiting) == 0 || !found || until > now {
--- a/standin/scheduler.go
+++ b/standin/scheduler.go
@@ -17,7 +17,7 @@
 type scheduler struct {
 	scale        timeScale
 	resumeWindow time.Duration
-	onEnd        func(*stream, Ending) // called at the start of each stream and once at its end, with the lock held
+	onStartOrEnd func(*stream, Ending) // called at the start of each stream and once at its end, with the lock held
 	onReaderLost func(*stream)         // called for each disconnected reader, with the lock held
 
 	mu      sync.Mutex
@@ -34,12 +34,12 @@
 	errGone     = errors.New("no such stream to resume")
 )
 
-func newScheduler(o *EngineOptions, now time.Time, onEnd func(*stream, Ending), onReaderLost func(*stream)) *scheduler {
+func newScheduler(o *EngineOptions, now time.Time, onStartOrEnd func(*stream, Ending), onReaderLost func(*stream)) *scheduler {
 	scale := newTimeScale(now, o.TimeScale)
 	return &scheduler{
 		scale:        scale,
 		resumeWindow: o.ResumeWindow,
-		onEnd:        onEnd,
+		onStartOrEnd: onStartOrEnd,
 		onReaderLost: onReaderLost,
 		model:        enginemodel.New(o.Model, scale.model(now)),
 		streams:      map[string]*stream{},
@@ -75,7 +75,7 @@
 	requested.changed = make(chan struct{})
 	s.streams[requested.request] = requested
 	s.jobs[job.ID] = requested
-	s.onEnd(requested, Begun)
+	s.onStartOrEnd(requested, Begun)
 	s.wakeUp()
 	return requested, requested.reader, nil
 }
@@ -137,7 +137,7 @@
 	s.wakeUp()
 	if !st.delivered {
 		st.delivered = true
-		s.onEnd(st, EndedWhole)
+		s.onStartOrEnd(st, EndedWhole)
 	}
 }
 
@@ -187,7 +187,7 @@
 	delete(s.jobs, st.job)
 	st.broadcast()
 	if !st.delivered {
-		s.onEnd(st, how)
+		s.onStartOrEnd(st, how)
 	}
 }
 
