--- a/control/relay/relay_test.go
+++ b/control/relay/relay_test.go
@@ -108,7 +108,7 @@
 				}
 				a := announcement(i, sequences[i])
 				a.Incarnation += incarnations[i]
-				truth.Hear(now, a)
+				truth.Apply(now, a)
 			}
 			changes, newest := truth.ChangesSince(now, version)
 			version = newest
@@ -128,7 +128,7 @@
 					continue
 				}
 				for _, u := range relayed {
-					registry.HearRelayed(now, u)
+					registry.ApplyRelayed(now, u)
 				}
 			}
 			checkRegistry(t, registry, truth, now)
@@ -156,8 +156,8 @@
 		if a.Incarnation > b.Incarnation || (a.Incarnation == b.Incarnation && a.Sequence > b.Sequence) {
 			t.Fatalf("%s: incarnation %d sequence %d was never announced", a.Name, a.Incarnation, a.Sequence)
 		}
-		if a.Incarnation == b.Incarnation && u.HeardAt.After(expected[a.Name].HeardAt) {
-			t.Fatalf("%s looks fresher by %v than it is", a.Name, u.HeardAt.Sub(expected[a.Name].HeardAt))
+		if a.Incarnation == b.Incarnation && u.AnnouncedAt.After(expected[a.Name].AnnouncedAt) {
+			t.Fatalf("%s looks fresher by %v than it is", a.Name, u.AnnouncedAt.Sub(expected[a.Name].AnnouncedAt))
 		}
 		announced := announcement(0, int(a.Sequence)).Load
 		if a.Load.Running != announced.Running || a.Load.Waiting != announced.Waiting || a.Load.LongPrefill != announced.LongPrefill ||
--- a/control/voter_bench_test.go
+++ b/control/voter_bench_test.go
@@ -96,12 +96,12 @@
 			}
 			for _, one := range relayed {
 				c.logUpstream(one.Announcement)
-				c.known.HearRelayed(now, one)
+				c.known.ApplyRelayed(now, one)
 			}
 			c.publish(now)
 			for i, caller := range callers {
 				for k := half; k < each; k += 2 {
-					caller.heard.Hear(now, announced(i*each+k, sequence))
+					caller.heard.Apply(now, announced(i*each+k, sequence))
 				}
 				size = caller.sync(b, c.fanout, now)
 			}
--- a/forward/fleet.go
+++ b/forward/fleet.go
@@ -67,7 +67,7 @@
 	id := incarnationOf(a)
 	n := f.nodes[id]
 	if n == nil {
-		n = &node{incarnationID: id, address: a.Address, zone: a.AvailabilityZone, key: id.loadKey(), announced: u.HeardAt}
+		n = &node{incarnationID: id, address: a.Address, zone: a.AvailabilityZone, key: id.loadKey(), announced: u.AnnouncedAt}
 		if len(a.Targets) > 0 {
 			n.service = a.Targets[0]
 		}
@@ -94,7 +94,7 @@
 // must be held.
 func (f *fleet) retireEarlier(id incarnationID) {
 	for former, n := range f.nodes {
-		if former.name != id.name || former.incarnation >= id.incarnation || former.incarnation <= upstream.Unstated {
+		if former.name != id.name || former.incarnation >= id.incarnation || former.incarnation <= upstream.UnknownIncarnation {
 			continue
 		}
 		f.retire(n)
--- a/upstream/registry_bench_test.go
+++ b/upstream/registry_bench_test.go
@@ -5,20 +5,19 @@
 	"testing"
 )
 
-// BenchmarkSnapshot measures a view of a fleet of the target size.
+// BenchmarkSnapshot measures a snapshot of a fleet of the target size, 600 upstreams.
 func BenchmarkSnapshot(b *testing.B) {
 	r := NewRegistry(testFreshFor)
 	for i := range 600 {
-		r.Hear(testStart, Announcement{Name: fmt.Sprintf("engine-%d", i), Incarnation: 1, Sequence: 1, Targets: []string{"sarto"}})
+		r.Apply(testStart, Announcement{Name: fmt.Sprintf("engine-%d", i), Incarnation: 1, Sequence: 1, Targets: []string{"sarto"}})
 	}
 	for b.Loop() {
 		r.Snapshot(testStart)
 	}
 }
 
-// BenchmarkFirstHearing measures what it takes to hear of a fleet of 3,000 upstreams for the first
-// time.
-func BenchmarkFirstHearing(b *testing.B) {
+// BenchmarkFirstAnnouncements measures the first announcements of a fleet of 3,000 upstreams.
+func BenchmarkFirstAnnouncements(b *testing.B) {
 	const upstreams = 3000
 	announcements := make([]Announcement, upstreams)
 	for i := range announcements {
@@ -30,7 +29,7 @@
 	for b.Loop() {
 		r := NewRegistry(testFreshFor)
 		for i := range announcements {
-			r.Hear(testStart, announcements[i])
+			r.Apply(testStart, announcements[i])
 		}
 	}
 }
