--- a/bench/engine.go
+++ b/bench/engine.go
@@ -9,9 +9,9 @@
 	"celeryport/upstream"
 )
 
-// host runs one engine model and announces it.
+// host runs one engine model and sends its announcements to the instances.
 type host struct {
-	world       *world
+	simulation  *simulation
 	index       int
 	name        string
 	incarnation uint64
@@ -19,49 +19,49 @@
 	engine      *enginemodel.Engine
 	config      enginemodel.Config
 	down        bool
-	jobs        map[string]*flight // by engine job id
-	wakeAt      time.Duration      // planned wake, -1: none
-	overbooked  string             // the first job that can't be held here
+	jobs        map[string]*sendAttempt // by engine job id
+	wakeAt      time.Duration           // scheduled wake-up, or notScheduled
+	overbooked  string                  // ID of the first submitted job that exceeds the engine's memory
 }
 
-// noWake says that no wake is planned.
-const noWake = time.Duration(-1)
+// notScheduled is the time of a wake-up or tick that is not scheduled.
+const notScheduled = time.Duration(-1)
 
-func newHost(w *world, index int, config enginemodel.Config) *host {
+func newHost(sim *simulation, index int, config enginemodel.Config) *host {
 	h := &host{
-		world: w, index: index, name: fmt.Sprintf("engine-%02d", index), incarnation: 1,
-		config: config, jobs: map[string]*flight{}, wakeAt: noWake,
+		simulation: sim, index: index, name: fmt.Sprintf("engine-%02d", index), incarnation: 1,
+		config: config, jobs: map[string]*sendAttempt{}, wakeAt: notScheduled,
 	}
-	h.engine = enginemodel.New(config, w.time())
+	h.engine = enginemodel.New(config, sim.time())
 	return h
 }
 
-// announceEvery is the interval of announcements.
-const announceEvery = time.Second
+// announceInterval is the time between two announcements of an engine.
+const announceInterval = time.Second
 
-// announce tells two instances directly; the others hear it relayed, without
-// the cache events.
+// announce sends an announcement directly to two instances. The other instances
+// receive it relayed, later and without the cache events.
 func (h *host) announce() {
-	w := h.world
+	sim := h.simulation
 	if !h.down {
 		a := h.announcement()
-		direct := [2]int{h.index % len(w.instances), (h.index + 1) % len(w.instances)}
-		for i, instance := range w.instances {
+		direct := [2]int{h.index % len(sim.instances), (h.index + 1) % len(sim.instances)}
+		for i, instance := range sim.instances {
 			delay := networkDelay
 			heard := a
 			if i != direct[0] && i != direct[1] {
 				heard.CacheEvents = nil
-				delay += time.Duration(w.random.Int64N(int64(relayMax)))
+				delay += time.Duration(sim.random.Int64N(int64(maxRelayDelay)))
 			}
 			age := delay - networkDelay
-			w.after(delay, func() { instance.hear(heard, age) })
+			sim.after(delay, func() { instance.receive(heard, age) })
 		}
 	}
-	w.after(announceEvery, h.announce)
+	sim.after(announceInterval, h.announce)
 }
 
 func (h *host) announcement() upstream.Announcement {
-	now := h.world.time()
+	now := h.simulation.time()
 	h.sequence++
 	return upstream.Announcement{
 		Name: h.name, Incarnation: h.incarnation, Sequence: h.sequence, Address: h.name + ":1",
@@ -70,16 +70,17 @@
 	}
 }
 
-// submit gives the engine a job of a flight; false means that it refused.
-func (h *host) submit(f *flight, job enginemodel.Job) bool {
+// submit submits the job of a send attempt to the engine and reports whether the
+// engine accepted it.
+func (h *host) submit(attempt *sendAttempt, job enginemodel.Job) bool {
 	if held := max(job.MemoryTokens, 1); job.MemoryTokens == 0 && job.PromptTokens+job.OutputTokens > h.config.MemoryTokens || held > h.config.MemoryTokens {
 		h.overbooked = job.ID
 	}
-	if h.down || h.engine.Submit(h.world.time(), job) != nil {
+	if h.down || h.engine.Submit(h.simulation.time(), job) != nil {
 		return false
 	}
-	h.jobs[job.ID] = f
-	h.touched()
+	h.jobs[job.ID] = attempt
+	h.advance()
 	return true
 }
 
@@ -87,76 +88,77 @@
 	if h.down {
 		return
 	}
-	h.engine.Cancel(h.world.time(), id)
+	h.engine.Cancel(h.simulation.time(), id)
 	delete(h.jobs, id)
-	h.touched()
+	h.advance()
 }
 
-// touched takes the engine's events and plans its next wake.
-func (h *host) touched() {
-	w := h.world
-	for _, e := range append([]enginemodel.Event(nil), h.engine.Advance(w.time())...) {
-		h.deliver(e)
+// advance handles the engine's events up to the current time and schedules its
+// next wake-up.
+func (h *host) advance() {
+	sim := h.simulation
+	for _, e := range append([]enginemodel.Event(nil), h.engine.Advance(sim.time())...) {
+		h.handleEvent(e)
 	}
-	h.planWake()
+	h.scheduleWake()
 }
 
-func (h *host) planWake() {
-	w := h.world
+func (h *host) scheduleWake() {
+	sim := h.simulation
 	next := h.engine.Next()
 	if next.IsZero() || h.down {
-		h.wakeAt = noWake
+		h.wakeAt = notScheduled
 		return
 	}
-	at := max(next.Sub(epoch), w.now)
+	at := max(next.Sub(epoch), sim.now)
 	if at == h.wakeAt {
 		return
 	}
 	h.wakeAt = at
-	w.events.plan(at, func() {
+	sim.eventQueue.schedule(at, func() {
 		if h.wakeAt == at && !h.down {
-			h.wakeAt = noWake
-			h.touched()
+			h.wakeAt = notScheduled
+			h.advance()
 		}
 	})
 }
 
-func (h *host) deliver(e enginemodel.Event) {
-	f := h.jobs[e.ID]
-	if f == nil {
+func (h *host) handleEvent(e enginemodel.Event) {
+	attempt := h.jobs[e.ID]
+	if attempt == nil {
 		return
 	}
 	if e.Kind == enginemodel.Finished {
 		delete(h.jobs, e.ID)
-		h.world.after(networkDelay, func() { f.finished(e) })
+		h.simulation.after(networkDelay, func() { attempt.finished(e) })
 		return
 	}
 	if e.Offset == 1 {
-		h.world.after(networkDelay, func() { f.firstToken(e) })
+		h.simulation.after(networkDelay, func() { attempt.firstToken(e) })
 	}
 }
 
-// die ends the engine with all that it has.
-func (h *host) die() {
+// crash stops the engine; all its jobs are lost.
+func (h *host) crash() {
 	h.down = true
-	h.wakeAt = noWake
+	h.wakeAt = notScheduled
 	lost := h.jobs
-	h.jobs = map[string]*flight{}
+	h.jobs = map[string]*sendAttempt{}
 	for _, id := range sortedKeys(lost) {
-		f := lost[id]
-		h.world.after(networkDelay, f.cut)
+		attempt := lost[id]
+		h.simulation.after(networkDelay, attempt.connectionLost)
 	}
 }
 
-// restart starts a new incarnation.
+// restart starts the engine with a new incarnation and empty state.
 func (h *host) restart() {
 	h.down = false
 	h.incarnation++
 	h.sequence = 0
-	h.engine = enginemodel.New(h.config, h.world.time())
+	h.engine = enginemodel.New(h.config, h.simulation.time())
 }
 
-// jobID names an attempt on the engine.
+// jobID identifies a send attempt on the engines.
 func jobID(instance string, request string, attempt uint32) string {
 	return strings.Join([]string{instance, request, fmt.Sprint(attempt)}, "/")
 }
--- a/bench/instance.go
+++ b/bench/instance.go
@@ -10,134 +10,136 @@
 	"celeryport/upstream"
 )
 
-// instance drives one dispatcher, as an entry instance does.
+// instance models an entry instance: it drives one dispatcher.
 type instance struct {
-	world      *world
+	simulation *simulation
 	index      int
 	name       string
 	dispatcher dispatch.Dispatcher
 	registry   *upstream.Registry
 	dirty      bool
 	down       bool
-	flights    map[string]*flight
+	attempts   map[string]*sendAttempt
 	tickAt     time.Duration
 	granted    []quota.Grant
 }
 
-// The intervals of an instance's own work.
+// Intervals of an instance's periodic work, and the age at which its registry
+// considers an announcement stale.
 const (
-	freshFor       = 3 * time.Second
-	observeEvery   = 100 * time.Millisecond
-	heartbeatEvery = 500 * time.Millisecond
+	announcementFreshness = 3 * time.Second
+	observeInterval       = 100 * time.Millisecond
+	heartbeatInterval     = 500 * time.Millisecond
 )
 
-func newInstance(w *world, index int, d dispatch.Dispatcher) *instance {
+func newInstance(sim *simulation, index int, d dispatch.Dispatcher) *instance {
 	return &instance{
-		world: w, index: index, name: fmt.Sprintf("entry-%d", index), dispatcher: d,
-		registry: upstream.NewRegistry(freshFor), flights: map[string]*flight{}, tickAt: noWake,
+		simulation: sim, index: index, name: fmt.Sprintf("entry-%d", index), dispatcher: d,
+		registry: upstream.NewRegistry(announcementFreshness), attempts: map[string]*sendAttempt{}, tickAt: notScheduled,
 	}
 }
 
 func (i *instance) start() {
-	i.dispatcher.Configure(i.world.time(), i.world.site.tree())
-	i.act()
+	i.dispatcher.Configure(i.simulation.time(), i.simulation.site.tree())
+	i.applyActions()
 	i.observe()
 }
 
-func (i *instance) hear(a upstream.Announcement, age time.Duration) {
+func (i *instance) receive(a upstream.Announcement, age time.Duration) {
 	if !i.down {
-		i.registry.HearRelayed(i.world.time(), upstream.Relayed{Announcement: a, Age: age})
+		i.registry.HearRelayed(i.simulation.time(), upstream.Relayed{Announcement: a, Age: age})
 		i.dirty = true
 	}
 }
 
-// observe hands the dispatcher a new view ten times a second.
+// observe passes a new snapshot of the registry to the dispatcher, ten times a
+// second.
 func (i *instance) observe() {
 	if i.down {
 		return
 	}
-	now := i.world.time()
+	now := i.simulation.time()
 	i.dispatcher.Observe(now, i.registry.Snapshot(now))
-	i.act()
-	i.world.after(observeEvery, i.observe)
+	i.applyActions()
+	i.simulation.after(observeInterval, i.observe)
 }
 
 func (i *instance) offer(r *request.Request) {
 	if i.down {
 		return
 	}
-	i.dispatcher.Offer(i.world.time(), r)
-	i.act()
+	i.dispatcher.Offer(i.simulation.time(), r)
+	i.applyActions()
 }
 
-// act carries out the actions of the dispatcher and plans its next tick.
-func (i *instance) act() {
+// applyActions executes the actions of the dispatcher and schedules its next tick.
+func (i *instance) applyActions() {
 	for _, a := range append([]dispatch.Action(nil), i.dispatcher.Actions()...) {
 		switch a.Kind {
 		case dispatch.Send:
-			f := &flight{instance: i, request: a.Request, attempt: a.Attempt, parts: a.Placement.Parts, priority: a.Priority, sentAt: i.world.now}
-			i.flights[a.Request.ID] = f
-			i.world.after(networkDelay, f.arrive)
+			attempt := &sendAttempt{instance: i, request: a.Request, number: a.Attempt, parts: a.Placement.Parts, priority: a.Priority, sentAt: i.simulation.now}
+			i.attempts[a.Request.ID] = attempt
+			i.simulation.after(networkDelay, attempt.arrive)
 		case dispatch.Cancel:
-			f := i.flights[a.Request.ID]
-			delete(i.flights, a.Request.ID)
-			f.over = true
-			i.world.after(networkDelay, f.cancel)
+			attempt := i.attempts[a.Request.ID]
+			delete(i.attempts, a.Request.ID)
+			attempt.done = true
+			i.simulation.after(networkDelay, attempt.cancel)
 		case dispatch.Refuse:
-			i.world.record.refused(i.world.now, a.Request, a.Err)
+			i.simulation.recorder.refused(i.simulation.now, a.Request, a.Err)
 		}
 	}
-	i.planTick()
+	i.scheduleTick()
 }
 
-func (i *instance) planTick() {
-	w := i.world
-	at := max(i.dispatcher.NextTick(w.time()).Sub(epoch), w.now+time.Microsecond)
-	if i.tickAt != noWake && i.tickAt <= at {
+func (i *instance) scheduleTick() {
+	sim := i.simulation
+	at := max(i.dispatcher.NextTick(sim.time()).Sub(epoch), sim.now+time.Microsecond)
+	if i.tickAt != notScheduled && i.tickAt <= at {
 		return
 	}
 	i.tickAt = at
-	w.events.plan(at, func() {
+	sim.eventQueue.schedule(at, func() {
 		if i.tickAt != at || i.down {
 			return
 		}
-		i.tickAt = noWake
-		i.dispatcher.Tick(w.time())
-		i.act()
+		i.tickAt = notScheduled
+		i.dispatcher.Tick(sim.time())
+		i.applyActions()
 	})
 }
 
-// finish tells the dispatcher the end of a send.
-func (i *instance) finish(f *flight, outcome dispatch.Outcome) {
-	if f.over || i.down {
+// finish reports the outcome of a send attempt to the dispatcher.
+func (i *instance) finish(attempt *sendAttempt, outcome dispatch.Outcome) {
+	if attempt.done || i.down {
 		return
 	}
-	f.over = true
-	if i.flights[f.request.ID] == f {
-		delete(i.flights, f.request.ID)
+	attempt.done = true
+	if i.attempts[attempt.request.ID] == attempt {
+		delete(i.attempts, attempt.request.ID)
 	}
-	i.dispatcher.Finish(i.world.time(), f.request.ID, outcome)
-	i.act()
+	i.dispatcher.Finish(i.simulation.time(), attempt.request.ID, outcome)
+	i.applyActions()
 }
 
-// vanish ends the instance without a word: its machine is gone, and so are the
-// packets that would close its connections.
-func (i *instance) vanish() {
+// powerOff stops the instance without closing its connections, as when its machine
+// loses power: the engines are not notified.
+func (i *instance) powerOff() {
 	i.down = true
-	for _, f := range i.flights {
-		f.over = true
+	for _, attempt := range i.attempts {
+		attempt.done = true
 	}
-	i.flights = map[string]*flight{}
+	i.attempts = map[string]*sendAttempt{}
 }
 
-// die ends the instance. Its callers' requests are lost with it, and the engines
-// notice the closed connections.
-func (i *instance) die() {
+// crash stops the instance. The requests of its callers are lost, and the engines
+// cancel its jobs because its connections close.
+func (i *instance) crash() {
 	i.down = true
-	for _, id := range sortedKeys(i.flights) {
-		f := i.flights[id]
-		f.over = true
-		i.world.after(networkDelay, f.cancel)
+	for _, id := range sortedKeys(i.attempts) {
+		attempt := i.attempts[id]
+		attempt.done = true
+		i.simulation.after(networkDelay, attempt.cancel)
 	}
-	i.flights = map[string]*flight{}
+	i.attempts = map[string]*sendAttempt{}
 }
--- a/bench/result.go
+++ b/bench/result.go
@@ -7,12 +7,13 @@
 	"celeryport/verdict"
 )
 
-// Buckets are the columns of prompt lengths.
+// Buckets names the prompt length ranges, in tokens, that are columns of the
+// table.
 var Buckets = []string{"1-4k", "4-16k", "16-100k", "100k-400k", "over"}
 
-// bucketOf returns the column of a prompt.
+// bucketOf returns the index in Buckets of a prompt length.
 func bucketOf(tokens int) int {
-	for i, limit := range []int{4000, 16_000, 100_000, engineMem} {
+	for i, limit := range []int{4000, 16_000, 100_000, engineMemory} {
 		if tokens <= limit {
 			return i
 		}
@@ -28,14 +29,14 @@
 	P99   float64 `json:"p99_seconds"`
 }
 
-// Result is what one run gave.
+// Result holds the measurements of one run.
 type Result struct {
 	FirstToken      []Latency          `json:"first_token"` // by bucket
 	AloneFirstToken []Latency          `json:"alone_first_token"`
 	Short           Latency            `json:"short"` // all short requests
-	Alone           Latency            `json:"alone"` // the same ones alone
+	Alone           Latency            `json:"alone"` // the same requests run without the long ones
 	Slowdown        float64            `json:"slowdown"`
-	BucketSlowdown  []float64          `json:"bucket_slowdown"` // of the short buckets
+	BucketSlowdown  []float64          `json:"bucket_slowdown"` // of the buckets of short requests
 	Received        int                `json:"received"`
 	Served          int                `json:"served"`
 	Late            int                `json:"late"`    // finished after the deadline
@@ -44,26 +45,26 @@
 	Failed          int                `json:"failed"`      // may have run, or lost with an instance
 	LongTokens      int                `json:"long_tokens"` // prompt tokens of long requests served in time
 	QueueJump       int                `json:"queue_jump"`
-	RefusalDelay    float64            `json:"refusal_delay_seconds"` // longest time from hopeless to refused
-	Shares          map[string]float64 `json:"shares"`                // served tokens over the weighted fair share
+	RefusalDelay    float64            `json:"refusal_delay_seconds"` // longest time from when the deadline became unreachable to the refusal
+	Shares          map[string]float64 `json:"shares"`                // served tokens divided by the weighted fair share
 	Reasons         map[string]int     `json:"reasons"`
 }
 
-// result evaluates the requests that arrived after the warm-up.
-func (r *record) result(site *Site) *Result {
+// result evaluates the requests that arrived after the warm-up period.
+func (r *recorder) result(site *Site) *Result {
 	out := &Result{Shares: map[string]float64{}, Reasons: map[string]int{}}
 	times := make([][]float64, len(Buckets))
 	var short []float64
-	for _, l := range r.order {
-		if l.arrived < warmUp {
+	for _, rec := range r.order {
+		if rec.arrived < warmUp {
 			continue
 		}
-		out.count(l)
-		if l.first > 0 && l.finished > 0 {
-			first := (l.first - l.arrived).Seconds()
-			b := bucketOf(l.request.PromptTokens)
+		out.count(rec)
+		if rec.first > 0 && rec.finished > 0 {
+			first := (rec.first - rec.arrived).Seconds()
+			b := bucketOf(rec.request.PromptTokens)
 			times[b] = append(times[b], first)
-			if !l.request.Long {
+			if !rec.request.Long {
 				short = append(short, first)
 			}
 		}
@@ -77,41 +78,42 @@
 	return out
 }
 
-func (o *Result) count(l *life) {
+func (o *Result) count(rec *requestRecord) {
 	o.Received++
 	switch {
-	case l.finished > 0:
+	case rec.finished > 0:
 		o.Served++
-		late := l.request.Deadline.Before(epoch.Add(l.finished))
+		late := rec.request.Deadline.Before(epoch.Add(rec.finished))
 		if late {
 			o.Late++
 		}
-		if l.request.Long && !late {
-			o.LongTokens += l.request.PromptTokens
+		if rec.request.Long && !late {
+			o.LongTokens += rec.request.PromptTokens
 		}
-	case l.err != nil && l.err.Verdict == verdict.NotRun:
+	case rec.err != nil && rec.err.Verdict == verdict.NotRun:
 		o.Refused++
-		o.Reasons[string(l.err.Reason)]++
-		if !l.request.Long {
+		o.Reasons[string(rec.err.Reason)]++
+		if !rec.request.Long {
 			o.RefusedShort++
 		}
-		o.RefusalDelay = max(o.RefusalDelay, l.refusalDelay().Seconds())
+		o.RefusalDelay = max(o.RefusalDelay, rec.refusalDelay().Seconds())
 	default:
 		o.Failed++
 	}
 }
 
-// refusalDelay is how long after it could not be answered in time any more the
-// request was refused.
-func (l *life) refusalDelay() time.Duration {
+// refusalDelay returns how long after its deadline became unreachable the request
+// was refused. The deadline is unreachable once even an idle engine, or a span if
+// the request needs one, could not finish in time.
+func (rec *requestRecord) refusalDelay() time.Duration {
 	c := engineConfig()
 	rate := c.PrefillRate
-	if parts := (l.request.Tokens() + engineMem - 1) / engineMem; parts > 1 {
+	if parts := (rec.request.Tokens() + engineMemory - 1) / engineMemory; parts > 1 {
 		rate *= spanEfficiency * float64(parts+1)
 	}
-	service := float64(l.request.PromptTokens)/rate + float64(l.request.OutputTokens)*c.DecodeStep.Seconds()
-	hopeless := l.request.Deadline.Sub(epoch) - time.Duration(service*float64(time.Second))
-	return max(0, l.refused-max(hopeless, l.arrived))
+	service := float64(rec.request.PromptTokens)/rate + float64(rec.request.OutputTokens)*c.DecodeStep.Seconds()
+	hopeless := rec.request.Deadline.Sub(epoch) - time.Duration(service*float64(time.Second))
+	return max(0, rec.refused-max(hopeless, rec.arrived))
 }
 
 func latency(seconds []float64) Latency {
@@ -126,20 +128,20 @@
 // auditTokens is the length from which a prompt counts as an audit.
 const auditTokens = 100_000
 
-// queueJump is the most audits that arrived later than an audit and were begun
-// before it.
-func (r *record) queueJump() int {
-	var audits []*life
-	for _, l := range r.order {
-		if l.request.PromptTokens > auditTokens && l.first > 0 {
-			audits = append(audits, l)
+// queueJump returns the largest number of audits that overtook a single audit:
+// they arrived after it but started before it.
+func (r *recorder) queueJump() int {
+	var audits []*requestRecord
+	for _, rec := range r.order {
+		if rec.request.PromptTokens > auditTokens && rec.first > 0 {
+			audits = append(audits, rec)
 		}
 	}
 	longest := 0
-	for i, l := range audits {
+	for i, rec := range audits {
 		jumped := 0
 		for _, later := range audits[i+1:] {
-			if begun(later) < begun(l) {
+			if prefillStart(later) < prefillStart(rec) {
 				jumped++
 			}
 		}
@@ -148,26 +150,26 @@
 	return longest
 }
 
-// begun estimates when the prefill of a request began.
-func begun(l *life) time.Duration {
+// prefillStart estimates when the prefill of a request started.
+func prefillStart(rec *requestRecord) time.Duration {
 	c := engineConfig()
-	return l.first - time.Duration(float64(l.request.PromptTokens)/c.PrefillRate*float64(time.Second))
+	return rec.first - time.Duration(float64(rec.request.PromptTokens)/c.PrefillRate*float64(time.Second))
 }
 
-// shares divides what each organisation was served by its max-min fair share of
-// what all were served.
-func (r *record) shares(site *Site, out *Result) {
+// shares divides the prompt tokens served to each organisation by its weighted
+// max-min fair share of all served prompt tokens.
+func (r *recorder) shares(site *Site, out *Result) {
 	served := map[string]float64{}
 	offered := map[string]float64{}
 	total := 0.0
-	for _, l := range r.order {
-		if l.arrived < warmUp {
+	for _, rec := range r.order {
+		if rec.arrived < warmUp {
 			continue
 		}
-		tokens := float64(l.request.PromptTokens)
-		offered[l.request.Organisation] += tokens
-		if l.finished > 0 {
-			served[l.request.Organisation] += tokens
+		tokens := float64(rec.request.PromptTokens)
+		offered[rec.request.Organisation] += tokens
+		if rec.finished > 0 {
+			served[rec.request.Organisation] += tokens
 			total += tokens
 		}
 	}
--- a/bench/run.go
+++ b/bench/run.go
@@ -7,14 +7,14 @@
 	"sync"
 )
 
-// Options choose what is measured.
+// Options select the rows and runs to measure.
 type Options struct {
-	Filter  string // rows whose name contains it; empty: all
+	Filter  string // measure only rows whose name contains it; empty: all rows
 	Seeds   int
-	Workers int // rows measured at one time
+	Workers int // runs executed concurrently
 }
 
-// The limits of the options.
+// Defaults of the options.
 const (
 	defaultSeeds = 3
 	maxWorkers   = 6
@@ -30,7 +30,7 @@
 	return o
 }
 
-// Measured is one row with the results of both policies, one for each seed.
+// Measured is one row with the results of both policies, one result per seed.
 type Measured struct {
 	Row        string    `json:"row"`
 	Celeryport []*Result `json:"celeryport"`
@@ -39,7 +39,7 @@
 	row Row
 }
 
-// Run measures the rows.
+// Run measures the rows that match the filter.
 func Run(options Options) []*Measured {
 	options = options.withDefaults()
 	var measured []*Measured
@@ -56,8 +56,8 @@
 	return measured
 }
 
-// runAll plays every run on a few goroutines. Each run has its own state, so the
-// order in which they end changes nothing.
+// runAll executes all runs on a few goroutines. Each run has its own state, so the
+// results do not depend on the order in which the runs finish.
 func runAll(options Options, measured []*Measured) {
 	work := make(chan func())
 	var workers sync.WaitGroup
@@ -78,7 +78,7 @@
 	workers.Wait()
 }
 
-// median of what a function reads from each seed's result.
+// median returns the median over the seeds of a value read from each result.
 func median(results []*Result, read func(*Result) float64) float64 {
 	values := make([]float64, len(results))
 	for i, r := range results {
--- a/bench/site.go
+++ b/bench/site.go
@@ -1,7 +1,7 @@
-// Package bench measures the production policy beside the naive baseline on a
-// virtual clock: several entry instances, each with a dispatcher of its own, in
-// front of shared engine models whose announcements lag. It is seeded and
-// deterministic, and models neither a network nor a cluster beyond fixed delays.
+// Package bench compares the production dispatch policy with a naive baseline in a
+// discrete-event simulation: several entry instances, each with its own
+// dispatcher, share engine models whose announcements arrive late. Runs are seeded
+// and deterministic. The network is modelled only by fixed and random delays.
 package bench
 
 import (
@@ -11,7 +11,7 @@
 	"celeryport/standin/enginemodel"
 )
 
-// Site is one deployment.
+// Site is one simulated deployment.
 type Site struct {
 	Name          string
 	Engines       int
@@ -20,34 +20,34 @@
 	Mix           []Mix
 }
 
-// Organisation is one customer of the fleet.
+// Organisation is one organisation that shares the engines of a site.
 type Organisation struct {
 	Name   string
 	Weight float64
-	Demand float64 // part of the requests, in relation to the others
+	Demand float64 // relative number of requests, compared with the other organisations
 }
 
-// Mix is one class of requests.
+// Mix describes one class of requests within the traffic of a site.
 type Mix struct {
-	Class    string
-	Part     float64 // of the requests
-	Shortest int     // prompt tokens, log-uniform between the two
-	Longest  int
-	Output   [2]int // answer tokens, uniform between the two
-	Deadline time.Duration
-	Priority int
-	Prefixed float64 // part of the prompts that begin with a shared prefix
+	Class        string
+	Share        float64 // fraction of all requests
+	Shortest     int     // prompt tokens, log-uniform between Shortest and Longest
+	Longest      int
+	Output       [2]int // answer tokens, uniform between the two values
+	Deadline     time.Duration
+	Priority     int
+	SharedPrefix float64 // fraction of the prompts that begin with a shared prefix
 }
 
-// The length classes of both sites.
+// Prompt length limit, engine memory in tokens and model name of both sites.
 const (
-	shortUpTo = 16_000
-	engineMem = 400_000
-	model     = "model"
+	maxShortTokens = 16_000
+	engineMemory   = 400_000
+	model          = "model"
 )
 
-// capacityOf is the saturated prefill rate of the site in tokens a second: every
-// iteration of every engine carries a full chunk.
+// capacity returns the saturated prefill rate of the site in tokens a second: every
+// iteration of every engine processes a full chunk.
 func (s *Site) capacity() float64 {
 	c := engineConfig()
 	iteration := c.DecodeStep.Seconds() + float64(c.Chunk)/c.PrefillRate
@@ -56,16 +56,16 @@
 
 func engineConfig() enginemodel.Config {
 	c := enginemodel.DefaultConfig()
-	c.MemoryTokens = engineMem
+	c.MemoryTokens = engineMemory
 	c.FirstAndLastOnly = true
 	return c
 }
 
-// tree is the part of the settings that the dispatchers use.
+// tree returns the part of the settings that the dispatchers use.
 func (s *Site) tree() *settings.Tree {
 	tree := &settings.Tree{
 		Models:  []settings.Model{{Name: model, Spans: true}},
-		Lengths: []settings.Length{{Name: "short", UpTo: shortUpTo}, {Name: "long", UpTo: 2_000_000, Long: true}},
+		Lengths: []settings.Length{{Name: "short", UpTo: maxShortTokens}, {Name: "long", UpTo: 2_000_000, Long: true}},
 	}
 	for _, o := range s.Organisations {
 		tree.Organisations = append(tree.Organisations, settings.Organisation{
--- a/bench/sites.go
+++ b/bench/sites.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Aretusa is the fleet of Sartoria Aretusa.
+// Aretusa returns the simulated site of Sartoria Aretusa.
 func Aretusa() Site {
 	return Site{
 		Name: "aretusa", Engines: 14, Instances: 9,
 		Organisations: organisations("casa"),
 		Mix: []Mix{
-			{Class: "counter", Part: 0.55, Shortest: 1000, Longest: 4000, Output: [2]int{8, 40}, Deadline: 20 * time.Second, Priority: 10, Prefixed: 0.5},
-			{Class: "drafting", Part: 0.30, Shortest: 2000, Longest: 16_000, Output: [2]int{40, 120}, Deadline: 60 * time.Second, Priority: 5, Prefixed: 0.3},
-			{Class: "fitting", Part: 0.13, Shortest: 16_001, Longest: 100_000, Output: [2]int{60, 160}, Deadline: 180 * time.Second, Priority: 2},
-			{Class: "ledger", Part: 0.02, Shortest: 100_000, Longest: 1_000_000, Output: [2]int{60, 160}, Deadline: 300 * time.Second},
+			{Class: "counter", Share: 0.55, Shortest: 1000, Longest: 4000, Output: [2]int{8, 40}, Deadline: 20 * time.Second, Priority: 10, SharedPrefix: 0.5},
+			{Class: "drafting", Share: 0.30, Shortest: 2000, Longest: 16_000, Output: [2]int{40, 120}, Deadline: 60 * time.Second, Priority: 5, SharedPrefix: 0.3},
+			{Class: "fitting", Share: 0.13, Shortest: 16_001, Longest: 100_000, Output: [2]int{60, 160}, Deadline: 180 * time.Second, Priority: 2},
+			{Class: "ledger", Share: 0.02, Shortest: 100_000, Longest: 1_000_000, Output: [2]int{60, 160}, Deadline: 300 * time.Second},
 		},
 	}
 }
 
-// Brazos is the fleet of Brazos Linecraft.
+// Brazos returns the simulated site of Brazos Linecraft.
 func Brazos() Site {
 	return Site{
 		Name: "brazos", Engines: 23, Instances: 8,
 		Organisations: organisations("franchise"),
 		Mix: []Mix{
-			{Class: "ping", Part: 0.35, Shortest: 1000, Longest: 2000, Output: [2]int{4, 16}, Deadline: 10 * time.Second, Priority: 10, Prefixed: 0.5},
-			{Class: "floor", Part: 0.45, Shortest: 1500, Longest: 16_000, Output: [2]int{20, 100}, Deadline: 60 * time.Second, Priority: 8, Prefixed: 0.3},
-			{Class: "history", Part: 0.18, Shortest: 16_001, Longest: 100_000, Output: [2]int{60, 160}, Deadline: 180 * time.Second, Priority: 2},
-			{Class: "audit", Part: 0.02, Shortest: 100_000, Longest: 1_000_000, Output: [2]int{60, 160}, Deadline: 300 * time.Second},
+			{Class: "ping", Share: 0.35, Shortest: 1000, Longest: 2000, Output: [2]int{4, 16}, Deadline: 10 * time.Second, Priority: 10, SharedPrefix: 0.5},
+			{Class: "floor", Share: 0.45, Shortest: 1500, Longest: 16_000, Output: [2]int{20, 100}, Deadline: 60 * time.Second, Priority: 8, SharedPrefix: 0.3},
+			{Class: "history", Share: 0.18, Shortest: 16_001, Longest: 100_000, Output: [2]int{60, 160}, Deadline: 180 * time.Second, Priority: 2},
+			{Class: "audit", Share: 0.02, Shortest: 100_000, Longest: 1_000_000, Output: [2]int{60, 160}, Deadline: 300 * time.Second},
 		},
 	}
 }
 
-// organisations returns ten, a few of them large, whose demands differ from
-// their weights: at overload all of them ask for at least their share, some for
-// much more.
+// organisations returns ten organisations, a few of them large. Their demands are
+// at least proportional to their weights, so at overload all of them request at
+// least their share and some request up to a fifth more.
 func organisations(prefix string) []Organisation {
 	weights := []float64{30, 20, 12, 8, 6, 6, 5, 5, 4, 4}
 	excess := []float64{1.15, 1.0, 1.1, 1.0, 1.2, 1.0, 1.05, 1.0, 1.2, 1.0}
--- a/bench/table.go
+++ b/bench/table.go
@@ -5,7 +5,8 @@
 	"io"
 )
 
-// WriteTable prints the rows, the two policies below each other, and the bars.
+// WriteTable writes the rows, each with both policies below each other, and then
+// the acceptance criteria.
 func WriteTable(out io.Writer, measured []*Measured) {
 	fmt.Fprintln(out, "Medians of the seeds. Time to first token in seconds, p50/p95/p99, by prompt length.")
 	for _, m := range measured {
--- a/bench/trace.go
+++ b/bench/trace.go
@@ -9,13 +9,14 @@
 	"celeryport/request"
 )
 
-// The times of one run, from its start.
+// Requests that arrive before warmUp are not measured; drain is the time after the
+// end of the trace in which requests may still finish.
 const (
 	warmUp = 60 * time.Second
 	drain  = 320 * time.Second
 )
 
-// epoch is the start of every run.
+// epoch is the wall-clock time at which the virtual clock of every run starts.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // arrival is one request of a trace.
@@ -26,8 +27,8 @@
 	mix      int
 }
 
-// newTrace draws the requests of a site at a load, a fraction of its capacity.
-// The same seed gives the same requests whatever policy serves them.
+// newTrace generates the requests of a site at a load that is a fraction of its
+// capacity. The same seed gives the same requests for every policy.
 func newTrace(site *Site, load float64, length time.Duration, seed uint64) []arrival {
 	random := rand.New(rand.NewPCG(seed, 0x7ace))
 	perSecond := load * site.capacity() / site.meanTokens()
@@ -41,12 +42,12 @@
 		a.mix = drawMix(random, site)
 		a.request = drawRequest(random, site, a.mix)
 		a.request.ID = strconv.Itoa(len(trace))
-		a.stamp()
+		a.setTimes()
 		trace = append(trace, a)
 	}
 }
 
-func (a *arrival) stamp() {
+func (a *arrival) setTimes() {
 	deadline := a.request.Deadline.Sub(time.Time{})
 	a.request.Arrival = epoch.Add(a.at)
 	a.request.Deadline = a.request.Arrival.Add(deadline)
@@ -55,7 +56,7 @@
 func drawMix(random *rand.Rand, site *Site) int {
 	u := random.Float64()
 	for i := range site.Mix {
-		u -= site.Mix[i].Part
+		u -= site.Mix[i].Share
 		if u < 0 {
 			return i
 		}
@@ -74,21 +75,22 @@
 		PromptTokens: tokens,
 		OutputTokens: m.Output[0] + random.IntN(m.Output[1]-m.Output[0]+1),
 		Deadline:     time.Time{}.Add(m.Deadline),
-		Long:         tokens > shortUpTo,
+		Long:         tokens > maxShortTokens,
 		Priority:     m.Priority,
 	}
-	if random.Float64() < m.Prefixed {
+	if random.Float64() < m.SharedPrefix {
 		r.PrefixTokens = tokens / 2
 		r.PrefixHash = prefixHash(random, r.Organisation, r.PrefixTokens)
 	}
 	return r
 }
 
-// prefixesPerOrganisation is how many prompts an organisation shares.
+// prefixesPerOrganisation is the number of shared prompt prefixes per organisation.
 const prefixesPerOrganisation = 8
 
-// prefixHash names a shared prefix; a prefix of another length is another one,
-// so lengths are rounded to powers of two.
+// prefixHash returns the hash of a randomly chosen shared prefix. Prefixes of
+// different lengths have different hashes, so lengths are rounded down to powers of
+// two, which lets prompts of similar length share a prefix.
 func prefixHash(random *rand.Rand, organisation string, tokens int) uint64 {
 	h := uint64(14695981039346656037)
 	for _, b := range []byte(organisation) {
@@ -118,17 +120,17 @@
 	return int(float64(low) * math.Exp(random.Float64()*span))
 }
 
-// meanTokens is the mean prompt length of the mix.
+// meanTokens returns the mean prompt length of the mix.
 func (s *Site) meanTokens() float64 {
 	mean := 0.0
 	for _, m := range s.Mix {
 		span := math.Log(float64(m.Longest) / float64(m.Shortest))
-		mean += m.Part * float64(m.Longest-m.Shortest) / span
+		mean += m.Share * float64(m.Longest-m.Shortest) / span
 	}
 	return mean
 }
 
-// shortOnly keeps the short requests of a trace.
+// shortOnly returns the short requests of a trace.
 func shortOnly(trace []arrival) []arrival {
 	var short []arrival
 	for _, a := range trace {
