--- a/load/account.go
+++ b/load/account.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// Account counts what the callers of one organisation and class were told, one
-// count for each request that reached an instance, further tries included. A
-// report of the system over the same time has to agree with it.
+// Account counts the outcomes that the callers of one organisation and class
+// received. Every try that reached an instance counts once, retries included. A
+// usage report of the system over the same time has to agree with it.
 type Account struct {
 	Organisation string `json:"organisation"`
 	Class        string `json:"class"`
 	Served       int    `json:"served"`
 	Refused      int    `json:"refused"`
 	Failed       int    `json:"failed"`
-	Unanswered   int    `json:"unanswered"` // sent, but how it ended was not told, or not truly
+	Unanswered   int    `json:"unanswered"` // sent, but no instance reported the outcome, or not correctly
 }
 
-// accounts holds one account for each organisation and class.
+// accounts holds one account for each pair of organisation and class.
 type accounts map[[2]string]*Account
 
-// add counts one try.
+// add counts the outcome of one try.
 func (a accounts) add(w *Work, o *Outcome) {
 	name := [2]string{w.Organisation, w.Class.Name}
 	account := a[name]
@@ -32,26 +32,26 @@
 	case o.Result == Served:
 		account.Served++
 	case o.Result == Refused && o.Status == 0:
-		// Nothing reached an instance.
+		// The request did not reach an instance.
 	case o.Result == Refused:
 		account.Refused++
-	case o.Result == Failed && o.told():
+	case o.Result == Failed && o.reportedByInstance():
 		account.Failed++
 	default:
 		account.Unanswered++
 	}
 }
 
-// told reports whether an instance itself said how the request failed.
-func (o *Outcome) told() bool {
+// reportedByInstance reports whether an instance itself reported the failure.
+func (o *Outcome) reportedByInstance() bool {
 	switch o.Reason {
-	case reasonBroken, reasonCutOff, reasonMalformed, reasonSilent:
+	case reasonConnectionBroken, reasonCutOff, reasonMalformed, reasonTimeout:
 		return false
 	}
 	return true
 }
 
-// list returns the accounts in order.
+// list returns the accounts, ordered by organisation and class.
 func (a accounts) list() []Account {
 	all := make([]Account, 0, len(a))
 	for _, account := range a {
--- a/load/bench_test.go
+++ b/load/bench_test.go
@@ -8,19 +8,19 @@
 	"github.com/valyala/fasthttp"
 )
 
-// BenchmarkRun drives a fake instance over loopback TCP as fast as it can, the
-// instance's own work included. With -cpu 1 it gives a lower bound of the rate
-// that the tool can offer on one core.
+// BenchmarkRun sends requests to a fake instance over loopback TCP as fast as
+// possible. The time includes the work of the fake instance, so with -cpu 1 it gives
+// a lower bound of the rate that the load generator can send on one core.
 func BenchmarkRun(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	address := ln.Addr().String()
-	entry := &fakeEntry{prompt: rightPrompt}
+	entry := &fakeEntry{prompt: answerCorrectly}
 	server := &fasthttp.Server{
 		Handler:            func(ctx *fasthttp.RequestCtx) { entry.handle(ctx, []string{address}) },
-		MaxRequestBodySize: 8 << 20, Logger: silent{},
+		MaxRequestBodySize: 8 << 20, Logger: discardLogger{},
 	}
 	go server.Serve(ln)
 	defer server.Shutdown()
--- a/load/bucket.go
+++ b/load/bucket.go
@@ -2,12 +2,13 @@
 
 // bucket is a range of prompt lengths in tokens.
 type bucket struct {
-	name string
-	most int // inclusive; 0: no limit
+	name      string
+	maxTokens int // inclusive; 0: no limit
 }
 
-// bucketsFor returns the length buckets for engines with so much memory.
-func bucketsFor(engineMemory int) []bucket {
+// lengthBuckets returns the length buckets for engines with the given memory in
+// tokens.
+func lengthBuckets(engineMemory int) []bucket {
 	return []bucket{
 		{"1-4k", 4000},
 		{"4-16k", 16_000},
@@ -19,7 +20,7 @@
 
 func bucketOf(buckets []bucket, tokens int) int {
 	for i, b := range buckets {
-		if tokens <= b.most || b.most == 0 {
+		if tokens <= b.maxTokens || b.maxTokens == 0 {
 			return i
 		}
 	}
--- a/load/caller.go
+++ b/load/caller.go
@@ -12,75 +12,76 @@
 )
 
 const (
-	mostTries   = 5 // of work that was not run
-	mostResends = 2 // of a call with a key whose outcome is unknown
-	tryPause    = 100 * time.Millisecond
+	maxTries   = 5 // of a request that was not run
+	maxResends = 2 // of a call with an idempotency key whose outcome is unknown
+	retryDelay = 100 * time.Millisecond
 )
 
 const (
-	// reasonDeadline is the one refusal with 503 that holds for the whole fleet,
-	// so that another instance need not be asked.
+	// reasonDeadline is the only refusal with status 503 that applies to the whole
+	// fleet, so that a retry at another instance is pointless.
 	reasonDeadline = string(verdict.ReasonDeadline)
 	reasonDraining = string(verdict.ReasonDraining)
 	reasonNoLease  = string(verdict.ReasonNoLease)
 )
 
-// caller makes the requests of all organisations as their callers would.
+// caller sends the requests of all organisations and retries as real callers would.
 type caller struct {
-	exchanger     *exchanger
+	httpClient    *httpClient
 	mix           *Mix
 	keys          Keys
-	books         map[string]*addressBook
+	addressCaches map[string]*addressCache
 	deadlineScale float64
 	grace         time.Duration
-	resendOneIn   int // calls with a key; 0: none
-	tried         func(w *Work, o *Outcome)
+	resendOneIn   int // of the calls with an idempotency key, one in so many is sent twice; 0: none
+	onTry         func(w *Work, o *Outcome)
 }
 
-// deadline is the time that the work has.
+// deadline returns the time within which the work has to be answered.
 func (c *caller) deadline(w *Work) time.Duration {
 	return time.Duration(float64(w.Class.Deadline) * c.deadlineScale)
 }
 
-// do makes one request and follows it to its end. One in a number of calls with
-// an idempotency key is made twice at the same time, as by a caller that lost
-// patience; what both were told counts as one outcome.
+// do makes one request and waits for its final outcome. One in resendOneIn calls
+// with an idempotency key is sent twice concurrently, as by a caller that does not
+// wait for the first answer; the two outcomes are combined into one.
 func (c *caller) do(ctx context.Context, w *Work, due time.Time) Outcome {
 	if w.Key == "" || c.resendOneIn <= 0 || w.Number%c.resendOneIn != 0 {
-		return c.follow(ctx, w, due)
+		return c.doWithRetries(ctx, w, due)
 	}
 	other := make(chan Outcome, 1)
-	go func() { other <- c.follow(ctx, w, due) }()
-	first := c.follow(ctx, w, due)
-	return joined(first, <-other)
+	go func() { other <- c.doWithRetries(ctx, w, due) }()
+	first := c.doWithRetries(ctx, w, due)
+	return joinOutcomes(first, <-other)
 }
 
-// follow makes one request and follows it to its end. It sends again only what
-// was not run, and a call with an idempotency key under the same key.
-func (c *caller) follow(ctx context.Context, w *Work, due time.Time) Outcome {
+// doWithRetries makes one request and waits for its final outcome. It retries only
+// requests that were not run and, under the same key, calls with an idempotency key
+// whose outcome is unknown.
+func (c *caller) doWithRetries(ctx context.Context, w *Work, due time.Time) Outcome {
 	until := due.Add(c.deadline(w))
 	unknown := false
 	resends := 0
 	for tries := 1; ; tries++ {
-		o := c.try(ctx, w, due, until)
-		c.tried(w, &o)
+		o := c.tryOnce(ctx, w, due, until)
+		c.onTry(w, &o)
 		o.Tries = tries
 		o.Took = time.Since(due)
 		unknown = unknown || o.Result == Failed && o.Verdict == verdict.MayHaveRun
-		again := notRunHere(&o) && tries < mostTries
-		if !again && w.Key != "" && unfinished(&o) && resends < mostResends {
+		retry := canRetryElsewhere(&o) && tries < maxTries
+		if !retry && w.Key != "" && outcomeUnknown(&o) && resends < maxResends {
 			resends++
-			again = true
+			retry = true
 		}
-		if !again || !pause(ctx, time.Duration(tries)*tryPause, until) {
-			return settle(o, unknown)
+		if !retry || !sleep(ctx, time.Duration(tries)*retryDelay, until) {
+			return finalOutcome(o, unknown)
 		}
 	}
 }
 
-// settle gives the last outcome. After a try whose outcome is unknown, a later
-// refusal does not say that the work was not run.
-func settle(o Outcome, unknown bool) Outcome {
+// finalOutcome returns the outcome of all tries. If an earlier try may have run, a
+// later refusal does not mean that the work was not run.
+func finalOutcome(o Outcome, unknown bool) Outcome {
 	if unknown && o.Result == Refused {
 		o.Result = Failed
 		o.Verdict = verdict.MayHaveRun
@@ -88,27 +89,29 @@
 	return o
 }
 
-// notRunHere reports whether another address may take what this one did not run.
-func notRunHere(o *Outcome) bool {
+// canRetryElsewhere reports whether the request was not run and another instance may
+// accept it.
+func canRetryElsewhere(o *Outcome) bool {
 	if o.Reason == reasonUnreachable {
 		return true
 	}
 	return o.Result == Refused && o.Status == fasthttp.StatusServiceUnavailable && o.Reason != reasonDeadline
 }
 
-// takesNothing reports whether the address refuses all work for now.
-func takesNothing(o *Outcome) bool {
+// refusesAllWork reports whether the instance currently refuses all work.
+func refusesAllWork(o *Outcome) bool {
 	return o.Result == Refused && (o.Reason == reasonDraining || o.Reason == reasonNoLease)
 }
 
-// unfinished reports whether the connection ended without saying how the call
-// ended.
-func unfinished(o *Outcome) bool {
-	return o.Reason == reasonBroken || o.Reason == reasonCutOff
+// outcomeUnknown reports whether the connection ended before the outcome of the call
+// was received.
+func outcomeUnknown(o *Outcome) bool {
+	return o.Reason == reasonConnectionBroken || o.Reason == reasonCutOff
 }
 
-// pause waits and reports whether time is left.
-func pause(ctx context.Context, d time.Duration, until time.Time) bool {
+// sleep waits for d and reports whether it did. It does not wait if the deadline
+// would pass, and stops when ctx is done.
+func sleep(ctx context.Context, d time.Duration, until time.Time) bool {
 	if time.Now().Add(d).After(until) {
 		return false
 	}
@@ -122,19 +125,19 @@
 	}
 }
 
-// try sends the work once.
-func (c *caller) try(ctx context.Context, w *Work, due, until time.Time) Outcome {
-	book := c.books[w.Organisation]
-	address, err := book.pick(ctx)
+// tryOnce sends the work once.
+func (c *caller) tryOnce(ctx context.Context, w *Work, due, until time.Time) Outcome {
+	cache := c.addressCaches[w.Organisation]
+	address, err := cache.pick(ctx)
 	if err != nil {
 		return Outcome{Result: Refused, Reason: reasonUnreachable, Verdict: verdict.NotRun}
 	}
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
 	c.prepare(request, address, w, until)
-	e, err := c.exchanger.open(ctx, address, request, until.Add(c.grace))
+	e, err := c.httpClient.open(ctx, address, request, until.Add(c.grace))
 	if err != nil {
-		return c.notAnswered(book, address, err)
+		return c.outcomeWithoutAnswer(cache, address, err)
 	}
 	defer e.close()
 	o := Outcome{
@@ -143,13 +146,13 @@
 		Verdict:   verdict.Parse(string(e.response.Header.Peek(headerVerdict))),
 	}
 	c.read(e, w, due, &o)
-	if takesNothing(&o) {
-		book.failed(address)
+	if refusesAllWork(&o) {
+		cache.markFailed(address)
 	}
 	return o
 }
 
-// prepare fills the request. Its time is what is left until the deadline.
+// prepare fills the request. Its deadline header holds the time left.
 func (c *caller) prepare(request *fasthttp.Request, address string, w *Work, until time.Time) {
 	if w.isCall() {
 		fillCall(request, c.mix.Service, w)
@@ -169,15 +172,15 @@
 	}
 }
 
-// notAnswered judges an exchange without an answer.
-func (c *caller) notAnswered(book *addressBook, address string, err error) Outcome {
-	o := Outcome{Result: Failed, Reason: reasonBroken, Detail: err.Error()}
+// outcomeWithoutAnswer returns the outcome of an exchange that got no answer.
+func (c *caller) outcomeWithoutAnswer(cache *addressCache, address string, err error) Outcome {
+	o := Outcome{Result: Failed, Reason: reasonConnectionBroken, Detail: err.Error()}
 	switch {
 	case errors.Is(err, ErrNotSent):
 		o.Result, o.Reason, o.Verdict = Refused, reasonUnreachable, verdict.NotRun
-	case errors.Is(err, ErrSilent):
-		o.Result, o.Reason = Lost, reasonSilent
+	case errors.Is(err, ErrTimeout):
+		o.Result, o.Reason = Lost, reasonTimeout
 	}
-	book.failed(address)
+	cache.markFailed(address)
 	return o
 }
--- a/load/compare_test.go
+++ b/load/compare_test.go
@@ -7,10 +7,10 @@
 	"celeryport/ledger"
 )
 
-// A report that counts a request twice after a restart, forgets one, or books it
-// under another end looks as good as a true one. Only its callers can tell.
-func TestCompareFindsWhatCallersContradict(t *testing.T) {
-	told := []Account{{Organisation: "bottega", Class: "hold", Served: 10, Refused: 4, Failed: 2, Unanswered: 3}}
+// A report that counts a request twice after a restart, omits one, or counts it under
+// a wrong outcome looks plausible. Only the callers' counts reveal it.
+func TestCompareFindsCountsThatCallersContradict(t *testing.T) {
+	accounts := []Account{{Organisation: "bottega", Class: "hold", Served: 10, Refused: 4, Failed: 2, Unanswered: 3}}
 	row := func(received, served, refused, failed uint64) []ledger.Row {
 		return []ledger.Row{
 			{Organisation: "bottega", Class: "hold", Target: "a", Received: received - 1, Served: served - 1, Refused: refused, Failed: failed},
@@ -22,22 +22,22 @@
 		name    string
 		rows    []ledger.Row
 		unknown []ledger.UnknownEnd
-		want    []string // the numbers that differ
+		want    []string // the counts that differ
 		missing bool
 	}{
 		{"equal", row(16, 10, 4, 2), nil, nil, false},
-		{"what callers were not told, as failed", row(19, 10, 4, 5), nil, nil, false},
-		{"what callers were not told, as served", row(19, 13, 4, 2), nil, nil, false},
+		{"unanswered requests reported as failed", row(19, 10, 4, 5), nil, nil, false},
+		{"unanswered requests reported as served", row(19, 13, 4, 2), nil, nil, false},
 		{"one served too many", row(20, 14, 4, 2), nil, []string{"received", "served"}, false},
-		{"a refusal booked as a failure", row(16, 10, 3, 3), nil, []string{"refused"}, false},
-		{"one forgotten", row(15, 9, 4, 2), nil, []string{"received", "served"}, false},
-		{"one forgotten by an instance that died", row(15, 9, 4, 2), dead, []string{"received", "served"}, true},
-		{"one too many although an instance died", row(20, 10, 8, 2), dead, []string{"received", "refused"}, false},
+		{"a refusal counted as a failure", row(16, 10, 3, 3), nil, []string{"refused"}, false},
+		{"one omitted", row(15, 9, 4, 2), nil, []string{"received", "served"}, false},
+		{"one omitted while the end of an instance is unknown", row(15, 9, 4, 2), dead, []string{"received", "served"}, true},
+		{"one too many while the end of an instance is unknown", row(20, 10, 8, 2), dead, []string{"received", "refused"}, false},
 		{"an organisation that sent nothing", append(row(16, 10, 4, 2), ledger.Row{Organisation: "atelier", Received: 1, Served: 1}), nil, []string{"received", "served"}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var counts []string
-			for _, d := range Compare(told, &ledger.Report{Rows: test.rows, Unknown: test.unknown}) {
+			for _, d := range Compare(accounts, &ledger.Report{Rows: test.rows, Unknown: test.unknown}) {
 				counts = append(counts, d.Count)
 				if d.Missing != test.missing {
 					t.Errorf("%v: missing %v", d, d.Missing)
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestAccountsCountWhatCallersWereTold(t *testing.T) {
+func TestAccountsCountOutcomesReportedToCallers(t *testing.T) {
 	a := accounts{}
 	w := &Work{Organisation: "bottega", Class: &Class{Name: "hold"}}
 	for _, o := range []Outcome{
@@ -59,8 +59,8 @@
 		{Result: Refused, Reason: reasonUnreachable},
 		{Result: Failed, Reason: "upstream"},
 		{Result: Failed, Reason: reasonCutOff},
-		{Result: Failed, Reason: reasonBroken},
-		{Result: Lost, Reason: reasonSilent},
+		{Result: Failed, Reason: reasonConnectionBroken},
+		{Result: Lost, Reason: reasonTimeout},
 		{Result: Crossed, Reason: reasonWrongText},
 	} {
 		a.add(w, &o)
--- a/load/doc.go
+++ b/load/doc.go
@@ -1,5 +1,6 @@
-// Package load sends the requests of a deployment's callers to the entry
-// instances as those callers would: in an open loop, with real prompt sizes,
-// following the addresses that the instances hand out. It checks every answer
-// and tells what was served, refused, failed, lost, doubled or crossed.
+// Package load is a load generator for entry instances. It sends the requests that
+// the callers of a deployment would send: in an open loop, with realistic prompt
+// sizes, and to the addresses that the instances publish. It checks every answer
+// and reports how many requests were served, refused, failed, lost, doubled
+// (executed twice) or crossed (answered with a wrong text).
 package load
--- a/load/executions.go
+++ b/load/executions.go
@@ -9,11 +9,12 @@
 	"celeryport/standin/answer"
 )
 
-// pathCounts is where the stand-in service tells what it executed.
+// pathCounts is the path at which the stand-in service reports how often it executed
+// each call.
 const pathCounts = "/counts"
 
-// fetchCounts adds up what the services executed.
-func fetchCounts(ctx context.Context, x *exchanger, addresses []string, key string) (*answer.Counts, error) {
+// fetchCounts returns the sum of the execution counts of the services.
+func fetchCounts(ctx context.Context, x *httpClient, addresses []string, key string) (*answer.Counts, error) {
 	sum := &answer.Counts{Keys: map[string]int{}, Requests: map[string]int{}}
 	for _, address := range addresses {
 		body, err := x.get(ctx, address, pathCounts, key)
@@ -24,25 +25,26 @@
 		if err := json.Unmarshal(body, &counts); err != nil {
 			return nil, errors.Wrapf(err, "decode what %s executed", address)
 		}
-		merge(sum.Keys, counts.Keys)
-		merge(sum.Requests, counts.Requests)
+		addCounts(sum.Keys, counts.Keys)
+		addCounts(sum.Requests, counts.Requests)
 	}
 	return sum, nil
 }
 
-func merge(sum, more map[string]int) {
+func addCounts(sum, more map[string]int) {
 	for name, n := range more {
 		sum[name] += n
 	}
 }
 
-// executions compares what the callers were told with what was executed.
+// executions is the result of comparing the outcomes that callers received with the
+// executions.
 type executions struct {
-	doubled int // calls that must not be repeated and ran more than once
-	untrue  int // calls that ran although their caller was told that they did not
+	doubled        int // calls that must not be repeated but ran more than once
+	falselyRefused int // calls that ran although they were refused as not run
 }
 
-func compare(calls []sent, counts *answer.Counts) executions {
+func compareExecutions(calls []callRecord, counts *answer.Counts) executions {
 	var e executions
 	for _, call := range calls {
 		ran := max(counts.Keys[call.key], counts.Requests[call.requestID])
@@ -50,7 +52,7 @@
 			e.doubled++
 		}
 		if ran > 0 && call.refused {
-			e.untrue++
+			e.falselyRefused++
 		}
 	}
 	return e
--- a/load/entry_test.go
+++ b/load/fake_entry_test.go
@@ -18,11 +18,11 @@
 	"celeryport/standin/answer"
 )
 
-// fakeEntry is an entry instance whose answers a test decides. It serves both as
-// instance and as the service that counts.
+// fakeEntry is an entry instance whose answers are defined by a test. It also acts as
+// the service that reports execution counts.
 type fakeEntry struct {
 	address string
-	prompt  func(ctx *fasthttp.RequestCtx, f *fakeEntry, c *asked) // nil: right answers
+	prompt  func(ctx *fasthttp.RequestCtx, f *fakeEntry, c *completionRequest) // answers a prompt
 	call    func(ctx *fasthttp.RequestCtx, f *fakeEntry, key string)
 	down    bool // connections are refused
 
@@ -31,16 +31,16 @@
 	hits   int
 }
 
-// asked is what a caller asked for.
-type asked struct {
+// completionRequest is the request body of a completion.
+type completionRequest struct {
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Stream    bool   `json:"stream"`
 }
 
-func (a *asked) right() string { return answer.For(a.Prompt, a.MaxTokens) }
+func (a *completionRequest) correctText() string { return answer.For(a.Prompt, a.MaxTokens) }
 
-// fleet is a number of fake instances that know each other.
+// fleet holds fake instances by address; each publishes the addresses of all.
 type fleet map[string]*fakeEntry
 
 func (f fleet) dial(listeners map[string]*fasthttputil.InmemoryListener) Dialer {
@@ -74,7 +74,7 @@
 		body, _ := json.Marshal(&f.counts)
 		ctx.SetBody(body)
 	case pathCompletions:
-		var c asked
+		var c completionRequest
 		if err := json.Unmarshal(ctx.PostBody(), &c); err != nil {
 			panic(err)
 		}
@@ -100,8 +100,8 @@
 	f.counts.Keys[key]++
 }
 
-// executeOnce executes a key that was not executed before and reports whether
-// it did.
+// executeOnce executes a key unless it was executed before, and reports whether it
+// did.
 func (f *fakeEntry) executeOnce(key string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,7 +112,7 @@
 	return true
 }
 
-// runAgainst runs a few requests of one class against the instances.
+// runAgainst sends a number of requests of one class to the instances.
 func runAgainst(t *testing.T, f fleet, class string, requests int) *Report {
 	t.Helper()
 	return runWith(t, f, class, requests, func(*Options) {})
@@ -137,7 +137,7 @@
 			listeners[address] = fasthttputil.NewInmemoryListener()
 			server := &fasthttp.Server{
 				Handler:            func(ctx *fasthttp.RequestCtx) { entry.handle(ctx, addresses) },
-				MaxRequestBodySize: 8 << 20, NoDefaultDate: true, Logger: silent{},
+				MaxRequestBodySize: 8 << 20, NoDefaultDate: true, Logger: discardLogger{},
 			}
 			go server.Serve(listeners[address])
 			defer listeners[address].Close()
@@ -159,24 +159,24 @@
 	return report
 }
 
-type silent struct{}
+type discardLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // writeEvent writes one server-sent event.
-func writeEvent(w *bufio.Writer, text, finish, marks string) {
+func writeEvent(w *bufio.Writer, text, finish, metadata string) {
 	reason := "null"
 	if finish != "" {
 		reason = `"` + finish + `"`
 	}
-	fmt.Fprintf(w, `data: {"id":"c","object":"text_completion","choices":[{"text":%q,"index":0,"finish_reason":%s}]%s}`+"\n\n", text, reason, marks)
+	fmt.Fprintf(w, `data: {"id":"c","object":"text_completion","choices":[{"text":%q,"index":0,"finish_reason":%s}]%s}`+"\n\n", text, reason, metadata)
 	w.Flush()
 }
 
-const rightMarks = `,"celeryport":{"verdict":"ran","request_id":"id"}`
+const correctMetadata = `,"celeryport":{"verdict":"ran","request_id":"id"}`
 
-// answerText answers with the text as if it were whole.
-func answerText(ctx *fasthttp.RequestCtx, c *asked, text string) {
+// answerText answers with the text as the complete answer.
+func answerText(ctx *fasthttp.RequestCtx, c *completionRequest, text string) {
 	ctx.Response.Header.Set(headerVerdict, "ran")
 	if !c.Stream {
 		ctx.SetContentType("application/json")
@@ -187,7 +187,7 @@
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
 		half := len(text) / 2
 		writeEvent(w, text[:half], "", "")
-		writeEvent(w, text[half:], "stop", rightMarks)
+		writeEvent(w, text[half:], "stop", correctMetadata)
 		fmt.Fprint(w, "data: [DONE]\n\n")
 	})
 }
@@ -199,8 +199,8 @@
 	fmt.Fprintf(ctx, `{"error":{"type":%q,"message":"m","verdict":%q,"retry_after_ms":1000}}`, reason, verdict)
 }
 
-// answerPart streams a part of a text and then ends it in the way given.
-func answerPart(ctx *fasthttp.RequestCtx, text string, end func(w *bufio.Writer)) {
+// answerPartially streams a part of a text and then calls end.
+func answerPartially(ctx *fasthttp.RequestCtx, text string, end func(w *bufio.Writer)) {
 	ctx.SetContentType("text/event-stream")
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
 		writeEvent(w, text, "", "")
@@ -208,7 +208,7 @@
 	})
 }
 
-// answerCall answers a service call rightly.
+// answerCall answers a service call correctly.
 func answerCall(ctx *fasthttp.RequestCtx, key string) {
 	body, _ := json.Marshal(&answer.Call{Key: key, Digest: answer.CallDigest(ctx.PostBody())})
 	ctx.SetBody(body)
--- a/load/fuzz_test.go
+++ b/load/fuzz_test.go
@@ -10,17 +10,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Whatever an instance streams, only the whole right text counts as served.
+// Whatever an instance streams, only the complete, correct text counts as served.
 func FuzzEvents(f *testing.F) {
 	work := &Work{Class: &Class{}, Prompt: newPrompt(1, 2, 1000, 4), Stream: true}
-	right := (&asked{Prompt: readAll(work.Prompt), MaxTokens: 4}).right()
+	correctText := (&completionRequest{Prompt: readAll(work.Prompt), MaxTokens: 4}).correctText()
 	event := func(text string) string {
 		return fmt.Sprintf("data: {\"choices\":[{\"text\":%q}]}\n\n", text)
 	}
-	f.Add([]byte(event(right) + "data: [DONE]\n\n"))
-	f.Add([]byte(event(right[:6]) + ": alive\n\n" + event(right[6:]) + "data: [DONE]\n\n"))
-	f.Add([]byte(event(right[:6]) + "data: [DONE]\n\n"))
-	f.Add([]byte(event(right) + "data: {\"error\":{\"type\":\"upstream\",\"verdict\":\"may-have-run\"}}\n\n"))
+	f.Add([]byte(event(correctText) + "data: [DONE]\n\n"))
+	f.Add([]byte(event(correctText[:6]) + ": alive\n\n" + event(correctText[6:]) + "data: [DONE]\n\n"))
+	f.Add([]byte(event(correctText[:6]) + "data: [DONE]\n\n"))
+	f.Add([]byte(event(correctText) + "data: {\"error\":{\"type\":\"upstream\",\"verdict\":\"may-have-run\"}}\n\n"))
 	f.Add([]byte("data: {\"celeryport\":{}}\n\ndata:\n"))
 	f.Fuzz(func(t *testing.T, stream []byte) {
 		e := &exchange{}
@@ -31,8 +31,8 @@
 		if o.Result == "" {
 			t.Fatal("no result")
 		}
-		if o.Result == Served && !strings.Contains(string(stream), doneMark) {
-			t.Fatal("served without its end")
+		if o.Result == Served && !strings.Contains(string(stream), doneMarker) {
+			t.Fatal("counted as served without an end marker")
 		}
 	})
 }
--- a/load/generator.go
+++ b/load/generator.go
@@ -10,33 +10,33 @@
 	"github.com/google/uuid"
 )
 
-// wholeAnswerOneIn prompts asks for one JSON answer instead of a stream.
-const wholeAnswerOneIn = 10
+// One in unstreamedOneIn prompts requests a single JSON answer instead of a stream.
+const unstreamedOneIn = 10
 
-// generator makes the requests of a run, the same ones for the same seed but for
-// their idempotency keys, which must be new in each run.
+// generator generates the requests of a run. The same seed gives the same requests,
+// except for their idempotency keys, which must be new in each run.
 type generator struct {
-	mix    Mix
-	rate   float64 // requests a second
-	random *rand.Rand
-	seed   uint64
-	total  int // sum of the class weights
-	number int
-	after  time.Duration
+	mix         Mix
+	rate        float64 // requests a second
+	random      *rand.Rand
+	seed        uint64
+	totalWeight int // sum of the class weights
+	number      int
+	after       time.Duration
 
-	noRepeatOneIn int // prompts; 0: none
+	noRepeatOneIn int // one in so many prompts must not be repeated; 0: none
 }
 
 func newGenerator(mix Mix, rate float64, seed uint64) *generator {
 	g := &generator{mix: mix, rate: rate, seed: seed, random: rand.New(rand.NewPCG(seed, 0))}
 	for i := range mix.Classes {
-		g.total += mix.Classes[i].Weight
+		g.totalWeight += mix.Classes[i].Weight
 	}
 	return g
 }
 
-// next returns the next request. The gaps are exponential: callers do not wait
-// for each other's answers.
+// next returns the next request. The times between requests are exponentially
+// distributed, as for independent callers that do not wait for each other.
 func (g *generator) next() (*Work, error) {
 	g.after += time.Duration(g.random.ExpFloat64() / g.rate * float64(time.Second))
 	g.number++
@@ -58,7 +58,7 @@
 }
 
 func (g *generator) class() *Class {
-	pick := g.random.IntN(g.total)
+	pick := g.random.IntN(g.totalWeight)
 	for i := range g.mix.Classes {
 		class := &g.mix.Classes[i]
 		if pick < class.Weight {
@@ -69,14 +69,14 @@
 	return &g.mix.Classes[0]
 }
 
-// fillPrompt draws a length between the limits of the class, evenly on a
-// logarithmic scale: short ones are many, and every length occurs.
+// fillPrompt chooses a prompt whose length is log-uniform between the limits of the
+// class: short prompts are frequent, and every length occurs.
 func (g *generator) fillPrompt(w *Work, shape *PromptShape) {
-	least, most := math.Log(float64(shape.LeastTokens)), math.Log(float64(shape.MostTokens))
-	tokens := int(math.Round(math.Exp(least + g.random.Float64()*(most-least))))
+	logMin, logMax := math.Log(float64(shape.MinTokens)), math.Log(float64(shape.MaxTokens))
+	tokens := int(math.Round(math.Exp(logMin + g.random.Float64()*(logMax-logMin))))
 	subject := g.seed<<32 ^ uint64(g.random.IntN(shape.Subjects))<<8 ^ uint64(len(w.Class.Name))
 	w.Prompt = newPrompt(subject, g.random.Uint64(), tokens, shape.AnswerTokens)
-	w.Stream = g.random.IntN(wholeAnswerOneIn) != 0
+	w.Stream = g.random.IntN(unstreamedOneIn) != 0
 }
 
 // callBody is the body of a service call.
@@ -98,7 +98,8 @@
 	return w.addKey()
 }
 
-// addKey makes the work one that must not be repeated. Its key tells the time.
+// addKey marks the work as not to be repeated by giving it an idempotency key. The
+// key is a UUIDv7, which contains the current time.
 func (w *Work) addKey() error {
 	key, err := uuid.NewV7()
 	if err != nil {
--- a/load/exchanger.go
+++ b/load/http_client.go
@@ -11,27 +11,28 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Dialer opens a connection.
+// Dialer opens a connection to an address.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
 const (
 	connectTimeout = 2 * time.Second
-	askTimeout     = 2 * time.Second
+	getTimeout     = 2 * time.Second
 	bufferBytes    = 16 << 10
 	maxAnswer      = 64 << 20
 	bearer         = "Bearer "
 )
 
-// ErrNotSent marks a failure before any byte left, which is the only kind of
-// failure without an answer after which a caller may send again.
+// ErrNotSent marks a failure before any byte was sent. It is the only failure
+// without an answer after which a caller may safely retry.
 var ErrNotSent = errors.New("not sent")
 
-// ErrSilent marks an answer that did not come or end in time.
-var ErrSilent = errors.New("no final answer in time")
+// ErrTimeout marks an answer that did not start or did not end in time.
+var ErrTimeout = errors.New("no final answer in time")
 
-// exchanger makes HTTP exchanges, each on a connection of its own: nothing in it
-// repeats a request, and a refused connection is told apart from a broken one.
-type exchanger struct {
+// httpClient makes HTTP exchanges, each on its own connection. Unlike the usual
+// clients it never repeats a request, and it distinguishes a refused connection from
+// one that broke.
+type httpClient struct {
 	dial Dialer
 }
 
@@ -40,15 +41,15 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// exchange is one request and its answer.
+// exchange is one HTTP request and its response.
 type exchange struct {
 	conn     net.Conn
 	response fasthttp.Response
 }
 
-// open sends the request and reads the header of its answer. The whole exchange
-// has to end by the time given.
-func (x *exchanger) open(ctx context.Context, address string, request *fasthttp.Request, by time.Time) (*exchange, error) {
+// open sends the request and reads the header of the response. The whole exchange
+// has to end by the given time.
+func (x *httpClient) open(ctx context.Context, address string, request *fasthttp.Request, by time.Time) (*exchange, error) {
 	limited, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	conn, err := x.dial(limited, address)
@@ -63,8 +64,8 @@
 	request.SetConnectionClose()
 	sent := e.send(request)
 	e.response.StreamBody = true
-	// An instance may refuse before it has read the whole body and close; its
-	// answer is there although sending failed.
+	// An instance may refuse a request and close the connection before it has read
+	// the whole body, so there can be a response although sending failed.
 	if err := e.response.Read(bufio.NewReaderSize(conn, bufferBytes)); err != nil {
 		e.close()
 		return nil, classify(errors.CombineErrors(sent, err))
@@ -80,16 +81,16 @@
 	return w.Flush()
 }
 
-// classify marks the error of a connection that ran out of time.
+// classify marks a time-out of the connection as ErrTimeout.
 func classify(err error) error {
 	var timeout interface{ Timeout() bool }
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		return errors.Mark(err, ErrSilent)
+		return errors.Mark(err, ErrTimeout)
 	}
 	return err
 }
 
-// body reads the whole answer.
+// body reads the whole response body.
 func (e *exchange) body() ([]byte, error) {
 	stream := e.response.BodyStream()
 	if stream == nil {
@@ -101,15 +102,15 @@
 
 func (e *exchange) close() { _ = e.conn.Close() }
 
-// get makes a small call without effects.
-func (x *exchanger) get(ctx context.Context, address, path, key string) ([]byte, error) {
+// get makes a GET request and returns the body of a successful response.
+func (x *httpClient) get(ctx context.Context, address, path, key string) ([]byte, error) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
 	request.SetRequestURI("http://" + address + path)
 	if key != "" {
 		request.Header.Set(fasthttp.HeaderAuthorization, bearer+key)
 	}
-	e, err := x.open(ctx, address, request, time.Now().Add(askTimeout))
+	e, err := x.open(ctx, address, request, time.Now().Add(getTimeout))
 	if err != nil {
 		return nil, err
 	}
--- a/load/keys.go
+++ b/load/keys.go
@@ -5,11 +5,11 @@
 	"gopkg.in/ini.v1"
 )
 
-// Keys maps organisations to the keys of their callers.
+// Keys maps organisations to the API keys of their callers.
 type Keys map[string]string
 
-// ReadKeys reads a file of lines ORGANISATION=KEY; INI sections are allowed and
-// mean nothing.
+// ReadKeys reads a file of lines ORGANISATION=KEY. INI section headers are allowed
+// and ignored.
 func ReadKeys(path string) (Keys, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, path)
 	if err != nil {
--- a/load/mix.go
+++ b/load/mix.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Mix is the work of one deployment.
+// Mix describes the requests of one deployment.
 type Mix struct {
 	Name    string
 	Model   string
@@ -14,10 +14,10 @@
 	Classes []Class
 }
 
-// Class is one class of work within a mix.
+// Class is one class of requests within a mix.
 type Class struct {
 	Name          string
-	Weight        int // share of the requests, relative to the other classes
+	Weight        int // relative number of requests, compared with the other classes
 	Organisations []string
 	Deadline      time.Duration
 	Prompt        *PromptShape // nil: a service call
@@ -26,25 +26,26 @@
 
 // PromptShape describes the prompts of a class.
 type PromptShape struct {
-	LeastTokens  int
-	MostTokens   int
-	AnswerTokens int // most tokens of the answer
-	Subjects     int // prompts of one subject share their beginning
+	MinTokens    int
+	MaxTokens    int
+	AnswerTokens int // maximum tokens of the answer
+	Subjects     int // number of shared prefixes among the prompts of the class
 }
 
 // CallShape describes the service calls of a class.
 type CallShape struct {
-	Path     string // below the service
+	Path     string // relative to the path of the service
 	NoRepeat bool
 }
 
-// ErrUnknownMix means that there is no mix of the name.
+// ErrUnknownMix is returned for a name of a mix, or of a class in it, that does not
+// exist.
 var ErrUnknownMix = errors.New("unknown mix")
 
-// ErrNoOrganisation means that no key was given for any organisation of a mix.
+// ErrNoOrganisation is returned if there is no key for any organisation of a mix.
 var ErrNoOrganisation = errors.New("the keys hold no organisation of this mix")
 
-// FindMix returns the mix of the name.
+// FindMix returns the mix with the given name.
 func FindMix(name string) (Mix, error) {
 	for _, m := range []Mix{Aretusa(), Brazos()} {
 		if m.Name == name {
@@ -54,8 +55,8 @@
 	return Mix{}, errors.Wrapf(ErrUnknownMix, "%q", name)
 }
 
-// Restrict keeps the organisations whose keys are given, and the classes that
-// any of them uses.
+// Restrict returns the mix with only the organisations that have a key, and only the
+// classes that at least one of them uses.
 func (m Mix) Restrict(keys Keys) (Mix, error) {
 	var kept []Class
 	for _, class := range m.Classes {
@@ -77,7 +78,7 @@
 	return m, nil
 }
 
-// Select keeps the classes of the names; none keeps all.
+// Select returns the mix with only the named classes, or with all if names is empty.
 func (m Mix) Select(names []string) (Mix, error) {
 	if len(names) == 0 {
 		return m, nil
--- a/load/mix_brazos.go
+++ b/load/mix_brazos.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Brazos is the work of the changeover fleet: floor questions, badge checks and
-// line-status pings that must be answered at once, board histories and audits
-// that may wait.
+// Brazos returns the mix of a manufacturing company: shop floor questions, badge
+// checks and line-status pings that need an immediate answer, and board histories
+// and audits that can wait.
 func Brazos() Mix {
 	franchises := []string{"franchise-03", "franchise-04", "franchise-05", "franchise-06", "franchise-07", "franchise-08"}
 	lines := append([]string{"floor", "floor", "floor", "franchise-01", "franchise-02"}, franchises...)
@@ -16,7 +16,7 @@
 		Classes: []Class{
 			{
 				Name: "floor", Weight: 45, Organisations: lines, Deadline: 10 * time.Second,
-				Prompt: &PromptShape{LeastTokens: 1000, MostTokens: 6000, AnswerTokens: 60, Subjects: 30},
+				Prompt: &PromptShape{MinTokens: 1000, MaxTokens: 6000, AnswerTokens: 60, Subjects: 30},
 			},
 			{
 				Name: "ping", Weight: 12, Organisations: lines, Deadline: 3 * time.Second,
@@ -28,11 +28,11 @@
 			},
 			{
 				Name: "board-history", Weight: 20, Organisations: engineers, Deadline: 5 * time.Minute,
-				Prompt: &PromptShape{LeastTokens: 8000, MostTokens: 120_000, AnswerTokens: 250, Subjects: 40},
+				Prompt: &PromptShape{MinTokens: 8000, MaxTokens: 120_000, AnswerTokens: 250, Subjects: 40},
 			},
 			{
 				Name: "audit", Weight: 10, Organisations: engineers, Deadline: 20 * time.Minute,
-				Prompt: &PromptShape{LeastTokens: 100_000, MostTokens: 1_000_000, AnswerTokens: 500, Subjects: 10},
+				Prompt: &PromptShape{MinTokens: 100_000, MaxTokens: 1_000_000, AnswerTokens: 500, Subjects: 10},
 			},
 		},
 	}
--- a/load/options.go
+++ b/load/options.go
@@ -7,25 +7,25 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Options describe one run.
+// Options configure one run.
 type Options struct {
 	Mix              Mix
 	Keys             Keys
-	To               []string // entry instances that callers know at first
+	To               []string // addresses of the entry instances that callers contact first
 	AvailabilityZone string   // of the callers
 	Rate             float64  // requests a second
 	Duration         time.Duration
-	Requests         int // 0: as many as Duration allows
+	Requests         int // maximum number of requests; 0: limited by Duration only
 	Seed             uint64
-	DeadlineScale    float64       // times the deadlines of the classes; 0: 1
-	Grace            time.Duration // a request without an end so long after its deadline is lost
-	MostInFlight     int           // above it requests are not sent and counted as unsent
-	EngineMemory     int           // tokens, bounds the last but one length bucket
-	ResendOneIn      int           // one in so many calls with a key is made twice at once; 0: none
-	NoRepeatOneIn    int           // one in so many prompts must not be repeated; 0: none
-	CountsFrom       []string      // services to ask what they executed
-	CountsKey        string        // key for asking them
-	Progress         io.Writer     // one line a second; may be nil
+	DeadlineScale    float64       // factor applied to the deadlines of the classes; 0 means 1
+	Grace            time.Duration // a request without an outcome this long after its deadline counts as lost
+	MostInFlight     int           // further requests are not sent but counted as unsent
+	EngineMemory     int           // tokens; upper limit of the last but one length bucket
+	ResendOneIn      int           // one in so many calls with an idempotency key is sent twice concurrently; 0: none
+	NoRepeatOneIn    int           // one in so many prompts is marked as not to be repeated; 0: none
+	CountsFrom       []string      // addresses of the services that report execution counts
+	CountsKey        string        // API key for these services
+	Progress         io.Writer     // receives one line a second; may be nil
 	Log              logrus.FieldLogger
 	Dial             Dialer // nil: TCP
 }
@@ -61,9 +61,9 @@
 		o.Dial = dialTCP
 	}
 	if o.Log == nil {
-		silent := logrus.New()
-		silent.SetOutput(io.Discard)
-		o.Log = silent
+		discard := logrus.New()
+		discard.SetOutput(io.Discard)
+		o.Log = discard
 	}
 	return o
 }
--- a/load/prompt.go
+++ b/load/prompt.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// bytesPerToken is how many bytes the system counts as a token.
+	// bytesPerToken is the number of bytes that the system counts as one token.
 	bytesPerToken = 4
-	// sharedBytes is the beginning that prompts of one subject share; it is as
-	// long as the prefix that engines cache.
+	// sharedBytes is the length of the prefix that prompts of one subject share. It
+	// equals the length of the prefix that engines cache.
 	sharedBytes = 1024 * bytesPerToken
-	// blockBytes is the length of the text that repeats in the rest.
+	// blockBytes is the length of the block that repeats in the rest of the prompt.
 	blockBytes = 4096
 )
 
-// Prompt is a prompt of any length that takes only a few kilobytes: its own
-// block of text, repeated behind the beginning that its subject shares. Both
-// hold plain ASCII letters, so JSON leaves them as they are.
+// Prompt is a prompt of any length that needs only a few kilobytes of memory: the
+// prefix shared by its subject, followed by its own block of text, repeated. Both
+// consist of ASCII letters and spaces, so JSON does not escape them.
 type Prompt struct {
-	Tokens int
-	Answer int // most tokens of the answer
-	shared []byte
-	block  []byte
+	Tokens          int
+	MaxAnswerTokens int // maximum tokens of the answer
+	shared          []byte
+	block           []byte
 }
 
 const (
-	letters       = "abcdefghijklmnopqrstuvwxyz      " // 32, so that 5 bits choose one
-	bitsPerLetter = 5
-	lettersAtOnce = 64 / bitsPerLetter
+	letters        = "abcdefghijklmnopqrstuvwxyz      " // 32 characters, so that 5 bits select one
+	bitsPerLetter  = 5
+	lettersPerDraw = 64 / bitsPerLetter
 )
 
 func randomText(seed uint64, size int) []byte {
@@ -39,7 +39,7 @@
 	text := make([]byte, size)
 	bits := uint64(0)
 	for i := range text {
-		if i%lettersAtOnce == 0 {
+		if i%lettersPerDraw == 0 {
 			bits = source.Uint64()
 		}
 		text[i] = letters[bits%uint64(len(letters))]
@@ -50,46 +50,46 @@
 
 func newPrompt(subject, own uint64, tokens, answer int) *Prompt {
 	return &Prompt{
-		Tokens: tokens,
-		Answer: answer,
-		shared: randomText(subject, sharedBytes),
-		block:  randomText(own, blockBytes),
+		Tokens:          tokens,
+		MaxAnswerTokens: answer,
+		shared:          randomText(subject, sharedBytes),
+		block:           randomText(own, blockBytes),
 	}
 }
 
-// Size is the length of the text in bytes.
+// Size returns the length of the text in bytes.
 func (p *Prompt) Size() int { return p.Tokens * bytesPerToken }
 
-// Reader returns a new reader of the text.
+// Reader returns a new reader that reads the text from the start.
 func (p *Prompt) Reader() io.Reader {
 	shared := p.shared[:min(len(p.shared), p.Size())]
 	return io.MultiReader(
 		bytes.NewReader(shared),
-		&repeated{block: p.block, left: p.Size() - len(shared)},
+		&repeatingReader{block: p.block, remaining: p.Size() - len(shared)},
 	)
 }
 
-// Hash identifies the text as package answer does.
+// Hash returns the hash of the text that package answer uses to identify it.
 func (p *Prompt) Hash() uint64 {
 	digest := xxhash.New()
 	_, _ = io.Copy(digest, p.Reader())
 	return digest.Sum64()
 }
 
-// repeated reads a block over and over.
-type repeated struct {
-	block []byte
-	at    int
-	left  int
+// repeatingReader reads a block repeatedly until remaining bytes have been read.
+type repeatingReader struct {
+	block     []byte
+	offset    int
+	remaining int
 }
 
 // Read implements io.Reader.
-func (r *repeated) Read(to []byte) (int, error) {
-	if r.left == 0 {
+func (r *repeatingReader) Read(to []byte) (int, error) {
+	if r.remaining == 0 {
 		return 0, io.EOF
 	}
-	n := copy(to[:min(len(to), r.left)], r.block[r.at:])
-	r.at = (r.at + n) % len(r.block)
-	r.left -= n
+	n := copy(to[:min(len(to), r.remaining)], r.block[r.offset:])
+	r.offset = (r.offset + n) % len(r.block)
+	r.remaining -= n
 	return n, nil
 }
--- a/load/judge.go
+++ b/load/read_answer.go
@@ -15,38 +15,39 @@
 
 const contentTypeEvents = "text/event-stream"
 
-// read reads the answer and judges it.
+// read reads the answer and sets the outcome accordingly.
 func (c *caller) read(e *exchange, w *Work, due time.Time, o *Outcome) {
 	switch {
 	case o.Status != fasthttp.StatusOK:
-		readFailure(e, o)
+		readError(e, o)
 	case w.isCall():
 		readCall(e, w, o)
 	case strings.HasPrefix(string(e.response.Header.ContentType()), contentTypeEvents):
 		readStream(e, w, due, o)
 	default:
-		readWhole(e, w, o)
+		readJSON(e, w, o)
 	}
 }
 
-// fail ends the outcome without an answer; err says how reading ended.
+// fail sets the outcome of a request without a complete answer; err is the error of
+// reading it, if any.
 func (o *Outcome) fail(err error, reason string) {
 	o.Result, o.Reason = Failed, reason
-	if errors.Is(err, ErrSilent) {
-		o.Result, o.Reason = Lost, reasonSilent
+	if errors.Is(err, ErrTimeout) {
+		o.Result, o.Reason = Lost, reasonTimeout
 	}
 	if err != nil {
 		o.Detail = err.Error()
 	}
 }
 
-// cross ends the outcome with a wrong answer.
-func (o *Outcome) cross(reason, detail string) {
+// setCrossed sets the outcome of a request that got a wrong answer.
+func (o *Outcome) setCrossed(reason, detail string) {
 	o.Result, o.Reason, o.Detail = Crossed, reason, detail
 }
 
-// explain ends the outcome with an explicit refusal or failure.
-func (o *Outcome) explain(f *failure) {
+// setError sets the outcome from an explicit refusal or failure.
+func (o *Outcome) setError(f *errorBody) {
 	o.Result, o.Reason, o.Verdict = Failed, f.Type, f.Verdict
 	o.Detail = f.Message
 	if f.Verdict == verdict.NotRun {
@@ -54,8 +55,8 @@
 	}
 }
 
-// readFailure reads the JSON of an answer that is not a success.
-func readFailure(e *exchange, o *Outcome) {
+// readError reads the JSON error of an unsuccessful response.
+func readError(e *exchange, o *Outcome) {
 	body, err := e.body()
 	if err != nil {
 		o.fail(err, reasonCutOff)
@@ -67,14 +68,14 @@
 		o.Verdict = verdict.MayHaveRun
 		return
 	}
-	// The header and the body must not tell different things.
+	// A verdict that differs between header and body cannot be trusted.
 	if content.Error.Verdict != o.Verdict {
 		content.Error.Verdict = verdict.MayHaveRun
 	}
-	o.explain(content.Error)
+	o.setError(content.Error)
 }
 
-// readCall judges the answer of a service.
+// readCall reads and checks the answer of a service.
 func readCall(e *exchange, w *Work, o *Outcome) {
 	body, err := e.body()
 	if err != nil {
@@ -83,18 +84,18 @@
 	}
 	var given answer.Call
 	if err := json.Unmarshal(body, &given); err != nil {
-		o.cross(reasonWrongCall, err.Error())
+		o.setCrossed(reasonWrongCall, err.Error())
 		return
 	}
 	if given.Digest != answer.CallDigest(w.Body) {
-		o.cross(reasonWrongCall, "answer to "+given.Request)
+		o.setCrossed(reasonWrongCall, "answer to "+given.Request)
 		return
 	}
 	o.Result = Served
 }
 
-// readWhole judges a completion that comes as one JSON value.
-func readWhole(e *exchange, w *Work, o *Outcome) {
+// readJSON reads and checks a completion that is a single JSON value.
+func readJSON(e *exchange, w *Work, o *Outcome) {
 	body, err := e.body()
 	if err != nil {
 		o.fail(err, reasonCutOff)
@@ -105,62 +106,62 @@
 		o.fail(err, reasonMalformed)
 		return
 	}
-	o.complete(w, content.Choices[0].Text)
+	o.checkComplete(w, content.Choices[0].Text)
 }
 
-// complete judges a text that was shown as the whole answer.
-func (o *Outcome) complete(w *Work, text string) {
-	if err := answer.CheckHash(w.Prompt.Hash(), w.Prompt.Answer, text); err != nil {
-		o.cross(reasonWrongText, err.Error())
+// checkComplete checks a text that was delivered as the complete answer.
+func (o *Outcome) checkComplete(w *Work, text string) {
+	if err := answer.CheckHash(w.Prompt.Hash(), w.Prompt.MaxAnswerTokens, text); err != nil {
+		o.setCrossed(reasonWrongText, err.Error())
 		return
 	}
 	o.Result = Served
 }
 
-// incomplete judges what was shown of an answer that ended early: what the
-// caller has read must be the beginning of the right one.
-func (o *Outcome) incomplete(w *Work, text string) {
-	err := answer.CheckHash(w.Prompt.Hash(), w.Prompt.Answer, text)
+// checkPartial checks the text of an answer that ended early: it must be a prefix of
+// the correct answer.
+func (o *Outcome) checkPartial(w *Work, text string) {
+	err := answer.CheckHash(w.Prompt.Hash(), w.Prompt.MaxAnswerTokens, text)
 	if err != nil && !errors.Is(err, answer.ErrShort) {
-		o.cross(reasonWrongPart, err.Error())
+		o.setCrossed(reasonWrongPart, err.Error())
 	}
 }
 
-// readStream reads a streamed completion.
+// readStream reads and checks a streamed completion.
 func readStream(e *exchange, w *Work, due time.Time, o *Outcome) {
 	events := newEventReader(e.response.BodyStream())
 	var text strings.Builder
 	for {
 		event, err := events.next()
 		switch {
-		case errors.Is(err, errDone):
-			o.complete(w, text.String())
+		case errors.Is(err, errStreamDone):
+			o.checkComplete(w, text.String())
 			return
 		case errors.Is(err, io.EOF):
 			o.fail(nil, reasonCutOff)
-			o.incomplete(w, text.String())
+			o.checkPartial(w, text.String())
 			return
 		case err != nil:
 			o.fail(err, reasonCutOff)
-			o.incomplete(w, text.String())
+			o.checkPartial(w, text.String())
 			return
 		case event.Error != nil:
-			o.explain(event.Error)
-			o.incomplete(w, text.String())
+			o.setError(event.Error)
+			o.checkPartial(w, text.String())
 			return
 		}
-		if event.Marks != nil && event.Marks.RequestID != o.RequestID {
-			o.cross(reasonWrongID, "events of "+event.Marks.RequestID)
+		if event.Metadata != nil && event.Metadata.RequestID != o.RequestID {
+			o.setCrossed(reasonWrongID, "events of "+event.Metadata.RequestID)
 			return
 		}
-		o.take(event, &text, due)
+		o.appendText(event, &text, due)
 	}
 }
 
-// take adds the text of one event.
-func (o *Outcome) take(event *completion, text *strings.Builder, due time.Time) {
-	if event.Marks != nil {
-		o.Verdict = event.Marks.Verdict
+// appendText appends the text of one event and records the time of the first token.
+func (o *Outcome) appendText(event *completion, text *strings.Builder, due time.Time) {
+	if event.Metadata != nil {
+		o.Verdict = event.Metadata.Verdict
 	}
 	for i := range event.Choices {
 		if event.Choices[i].Text == "" {
--- a/load/report.go
+++ b/load/report.go
@@ -8,16 +8,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Quantiles of a latency, in milliseconds.
+// Quantiles are the quantiles of a latency, in milliseconds.
 type Quantiles struct {
-	Count int64   `json:"count"`
-	P50   float64 `json:"p50_ms"`
-	P95   float64 `json:"p95_ms"`
-	P99   float64 `json:"p99_ms"`
-	Most  float64 `json:"max_ms"`
+	Count   int64   `json:"count"`
+	P50     float64 `json:"p50_ms"`
+	P95     float64 `json:"p95_ms"`
+	P99     float64 `json:"p99_ms"`
+	Maximum float64 `json:"max_ms"`
 }
 
-// Line is the result of the requests of one length or class.
+// Line is the result of the requests of one length bucket or class.
 type Line struct {
 	Name       string    `json:"name"`
 	Requests   int       `json:"requests"`
@@ -31,7 +31,7 @@
 	Took       Quantiles `json:"took"`
 }
 
-// Cause counts the requests that ended for one reason.
+// Cause counts the requests that ended with the same result and reason.
 type Cause struct {
 	Result  Result `json:"result"`
 	Reason  string `json:"reason"`
@@ -41,30 +41,30 @@
 
 // Report is the result of a run.
 type Report struct {
-	Mix         string    `json:"mix"`
-	Seed        uint64    `json:"seed"`
-	Rate        float64   `json:"rate"`
-	Seconds     float64   `json:"seconds"`
-	All         Line      `json:"all"`
-	Doubled     int       `json:"doubled"`
-	Untrue      int       `json:"untrue"`  // ran although their callers were told "not run"
-	Counted     bool      `json:"counted"` // the services were asked what they executed
-	CountsError string    `json:"counts_error,omitempty"`
-	Tries       int       `json:"tries"`
-	Unsent      int       `json:"unsent"` // the tool's own limit of requests in flight
-	Lengths     []Line    `json:"lengths"`
-	Classes     []Line    `json:"classes"`
-	Causes      []Cause   `json:"causes"`
-	Accounts    []Account `json:"accounts"`
+	Mix            string    `json:"mix"`
+	Seed           uint64    `json:"seed"`
+	Rate           float64   `json:"rate"`
+	Seconds        float64   `json:"seconds"`
+	All            Line      `json:"all"`
+	Doubled        int       `json:"doubled"`
+	FalselyRefused int       `json:"untrue"`  // ran although they were refused as not run
+	Counted        bool      `json:"counted"` // whether the execution counts of the services were compared
+	CountsError    string    `json:"counts_error,omitempty"`
+	Tries          int       `json:"tries"`
+	Unsent         int       `json:"unsent"` // not sent because of the limit of requests in flight
+	Lengths        []Line    `json:"lengths"`
+	Classes        []Line    `json:"classes"`
+	Causes         []Cause   `json:"causes"`
+	Accounts       []Account `json:"accounts"`
 }
 
-// Bad reports whether a promise to callers was broken, or could not be checked
-// although it was asked for.
+// Bad reports whether a guarantee to callers was violated, or could not be checked
+// although the check was requested.
 func (r *Report) Bad() bool {
-	return r.All.Lost+r.Doubled+r.All.Crossed+r.Untrue > 0 || r.CountsError != ""
+	return r.All.Lost+r.Doubled+r.All.Crossed+r.FalselyRefused > 0 || r.CountsError != ""
 }
 
-// Summary is the last line of the table.
+// Summary returns the last line of the table.
 func (r *Report) Summary() string {
 	return fmt.Sprintf("%d requests, %d served, %d refused, %d failed, %d lost, %d doubled, %d crossed",
 		r.All.Requests, r.All.Served, r.All.Refused, r.All.Failed, r.All.Lost, r.Doubled, r.All.Crossed)
@@ -81,7 +81,7 @@
 		All:      t.all.line(),
 		Tries:    t.tries,
 		Unsent:   t.unsent,
-		Accounts: t.told.list(),
+		Accounts: t.accountCounts.list(),
 	}
 	for _, g := range t.lengths {
 		r.Lengths = append(r.Lengths, g.line())
@@ -90,7 +90,7 @@
 		r.Classes = append(r.Classes, t.classes[name].line())
 	}
 	for c, count := range t.causes {
-		r.Causes = append(r.Causes, Cause{Result: c.result, Reason: c.reason, Count: count, Example: t.example[c]})
+		r.Causes = append(r.Causes, Cause{Result: c.result, Reason: c.reason, Count: count, Example: t.examples[c]})
 	}
 	sort.Slice(r.Causes, func(i, j int) bool {
 		a, b := r.Causes[i], r.Causes[j]
@@ -121,10 +121,10 @@
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
 	inMs := func(microseconds int64) float64 { return float64(microseconds) / 1000 }
 	return Quantiles{
-		Count: h.TotalCount(),
-		P50:   inMs(h.ValueAtQuantile(50)),
-		P95:   inMs(h.ValueAtQuantile(95)),
-		P99:   inMs(h.ValueAtQuantile(99)),
-		Most:  inMs(h.Max()),
+		Count:   h.TotalCount(),
+		P50:     inMs(h.ValueAtQuantile(50)),
+		P95:     inMs(h.ValueAtQuantile(95)),
+		P99:     inMs(h.ValueAtQuantile(99)),
+		Maximum: inMs(h.Max()),
 	}
 }
--- a/load/run.go
+++ b/load/run.go
@@ -11,10 +11,10 @@
 	"github.com/sirupsen/logrus"
 )
 
-// progressInterval is the time between two lines of progress.
+// progressInterval is the time between two progress lines.
 const progressInterval = time.Second
 
-// run is one run under way.
+// run is the state of a run in progress.
 type run struct {
 	options Options
 	caller  *caller
@@ -24,8 +24,8 @@
 	started time.Time
 }
 
-// Run sends the mix and waits for every request's end. When ctx ends, no further
-// requests are sent; those under way are followed to their end.
+// Run sends the requests of the mix and waits for the outcome of each. When ctx is
+// done, no further requests are sent; those in flight are completed.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	o = o.withDefaults()
 	mix, err := o.Mix.Restrict(o.Keys)
@@ -33,8 +33,8 @@
 		return nil, err
 	}
 	o.Mix = mix
-	// A pool that does not block keeps the loop open: a slow fleet must not slow
-	// down its callers, or its slowness would not be seen.
+	// A non-blocking pool keeps the loop open: if a slow fleet slowed down the load
+	// generator, its real latency would not be measured.
 	pool, err := ants.NewPool(o.MostInFlight, ants.WithNonblocking(true))
 	if err != nil {
 		return nil, errors.Wrap(err, "start the pool")
@@ -42,36 +42,36 @@
 	defer pool.Release()
 	t := newTally(&mix, o.EngineMemory)
 	r := &run{options: o, caller: newCaller(&o, t.addTry), tally: t, pool: pool, started: time.Now()}
-	if err := r.offer(ctx); err != nil {
+	if err := r.sendAll(ctx); err != nil {
 		return nil, err
 	}
 	return r.report(context.WithoutCancel(ctx)), nil
 }
 
-func newCaller(o *Options, tried func(*Work, *Outcome)) *caller {
-	x := &exchanger{dial: o.Dial}
+func newCaller(o *Options, onTry func(*Work, *Outcome)) *caller {
+	x := &httpClient{dial: o.Dial}
 	c := &caller{
-		exchanger:     x,
+		httpClient:    x,
 		mix:           &o.Mix,
 		keys:          o.Keys,
-		books:         map[string]*addressBook{},
+		addressCaches: map[string]*addressCache{},
 		deadlineScale: o.DeadlineScale,
 		grace:         o.Grace,
 		resendOneIn:   o.ResendOneIn,
-		tried:         tried,
+		onTry:         onTry,
 	}
 	for organisation, key := range o.Keys {
-		c.books[organisation] = newAddressBook(x, o.To, key, o.AvailabilityZone)
+		c.addressCaches[organisation] = newAddressCache(x, o.To, key, o.AvailabilityZone)
 	}
 	return c
 }
 
-// offer sends the requests when they are due and waits for their ends.
-func (r *run) offer(ctx context.Context) error {
+// sendAll sends the requests when they are due and waits for their outcomes.
+func (r *run) sendAll(ctx context.Context) error {
 	progress, stop := context.WithCancel(context.Background())
-	var shown sync.WaitGroup
-	shown.Go(func() { r.showProgress(progress) })
-	defer shown.Wait()
+	var progressDone sync.WaitGroup
+	progressDone.Go(func() { r.showProgress(progress) })
+	defer progressDone.Wait()
 	defer stop()
 	defer r.pending.Wait()
 	g := newGenerator(r.options.Mix, r.options.Rate, r.options.Seed)
@@ -83,7 +83,7 @@
 		if err != nil {
 			return err
 		}
-		if r.ends(w) {
+		if r.isPastEnd(w) {
 			return nil
 		}
 		timer.Reset(time.Until(r.started.Add(w.After)))
@@ -96,7 +96,7 @@
 	}
 }
 
-func (r *run) ends(w *Work) bool {
+func (r *run) isPastEnd(w *Work) bool {
 	if r.options.Requests > 0 && w.Number > r.options.Requests {
 		return true
 	}
@@ -104,12 +104,12 @@
 }
 
 func (r *run) submit(w *Work) {
-	r.tally.offer()
+	r.tally.addOffered()
 	r.pending.Add(1)
 	due := r.started.Add(w.After)
 	err := r.pool.Submit(func() {
 		defer r.pending.Done()
-		r.follow(w, due)
+		r.execute(w, due)
 	})
 	if err != nil {
 		r.pending.Done()
@@ -117,9 +117,9 @@
 	}
 }
 
-// follow makes one request. It is not bound to the context of the run: a request
-// that was sent is followed to its end.
-func (r *run) follow(w *Work, due time.Time) {
+// execute makes one request and records its outcome. It does not use the context of
+// the run, because a request that was sent is completed even if the run is stopped.
+func (r *run) execute(w *Work, due time.Time) {
 	o := r.caller.do(context.Background(), w, due)
 	r.tally.add(w, &o, r.caller.deadline(w))
 	fields := logrus.Fields{
@@ -147,19 +147,20 @@
 	}
 }
 
-// report asks the services what they executed and sums up.
+// report returns the report of the run, including the comparison with the execution
+// counts of the services if there are any.
 func (r *run) report(ctx context.Context) *Report {
 	report := r.tally.report(&r.options, time.Since(r.started))
 	if len(r.options.CountsFrom) == 0 {
 		return report
 	}
-	counts, err := fetchCounts(ctx, r.caller.exchanger, r.options.CountsFrom, r.options.CountsKey)
+	counts, err := fetchCounts(ctx, r.caller.httpClient, r.options.CountsFrom, r.options.CountsKey)
 	if err != nil {
 		eventCountsFailed.Log(r.options.Log, logrus.Fields{"error": err.Error()})
 		report.CountsError = err.Error()
 		return report
 	}
-	e := compare(r.tally.calls, counts)
-	report.Doubled, report.Untrue, report.Counted = e.doubled, e.untrue, true
+	e := compareExecutions(r.tally.calls, counts)
+	report.Doubled, report.FalselyRefused, report.Counted = e.doubled, e.falselyRefused, true
 	return report
 }
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -10,64 +10,66 @@
 	"github.com/valyala/fasthttp"
 )
 
-func rightPrompt(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *asked) { answerText(ctx, c, c.right()) }
+func answerCorrectly(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
+	answerText(ctx, c, c.correctText())
+}
 
-// Each way in which an instance may cheat its callers is shown by the tool. If
-// one of them passed as served, every figure made with the tool would be a lie.
-func TestRunJudgesAnswersToPrompts(t *testing.T) {
+// Guards against counting a wrong, incomplete or missing answer as served, which would
+// invalidate every figure of the load generator.
+func TestOnlyCorrectAnswersCountAsServed(t *testing.T) {
 	failureEvent := func(w *bufio.Writer) {
 		fmt.Fprint(w, `data: {"error":{"type":"upstream","message":"m","verdict":"may-have-run","retry_after_ms":0}}`+"\n\n")
 	}
 	for _, test := range []struct {
 		name   string
-		prompt func(ctx *fasthttp.RequestCtx, f *fakeEntry, c *asked)
+		prompt func(ctx *fasthttp.RequestCtx, f *fakeEntry, c *completionRequest)
 		result Result
 		reason string
 	}{
-		{"right", rightPrompt, Served, ""},
-		{"another's text", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *asked) {
-			answerText(ctx, c, (&asked{Prompt: "other", MaxTokens: c.MaxTokens}).right())
+		{"correct", answerCorrectly, Served, ""},
+		{"text of another prompt", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
+			answerText(ctx, c, (&completionRequest{Prompt: "other", MaxTokens: c.MaxTokens}).correctText())
 		}, Crossed, reasonWrongText},
-		{"short, shown as whole", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *asked) {
-			answerText(ctx, c, c.right()[:60])
+		{"short, delivered as complete", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
+			answerText(ctx, c, c.correctText()[:60])
 		}, Crossed, reasonWrongText},
-		{"twice", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *asked) {
-			answerText(ctx, c, c.right()+c.right())
+		{"twice", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
+			answerText(ctx, c, c.correctText()+c.correctText())
 		}, Crossed, reasonWrongText},
-		{"events of another request", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *asked) {
+		{"events of another request", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
 			c.Stream = true
-			answerText(ctx, c, c.right())
+			answerText(ctx, c, c.correctText())
 			ctx.Response.Header.Set(headerRequest, "another")
 		}, Crossed, reasonWrongID},
-		{"ends without a mark", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *asked) {
-			answerPart(ctx, c.right()[:60], func(*bufio.Writer) {})
+		{"ends without the end marker", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
+			answerPartially(ctx, c.correctText()[:60], func(*bufio.Writer) {})
 		}, Failed, reasonCutOff},
-		{"fails with an event", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *asked) {
-			answerPart(ctx, c.right()[:60], failureEvent)
+		{"fails with an event", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
+			answerPartially(ctx, c.correctText()[:60], failureEvent)
 		}, Failed, "upstream"},
-		{"fails with an event after another's text", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *asked) {
-			answerPart(ctx, "bolt", failureEvent)
+		{"fails with an event after a wrong text", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
+			answerPartially(ctx, "bolt", failureEvent)
 		}, Crossed, reasonWrongPart},
-		{"closes without an answer", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, _ *asked) {
+		{"closes without an answer", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, _ *completionRequest) {
 			ctx.Conn().Close()
-		}, Failed, reasonBroken},
-		{"never answers", func(*fasthttp.RequestCtx, *fakeEntry, *asked) {
+		}, Failed, reasonConnectionBroken},
+		{"never answers", func(*fasthttp.RequestCtx, *fakeEntry, *completionRequest) {
 			time.Sleep(30 * time.Second)
-		}, Lost, reasonSilent},
-		{"goes silent within the answer", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *asked) {
-			answerPart(ctx, c.right()[:60], func(*bufio.Writer) { time.Sleep(30 * time.Second) })
-		}, Lost, reasonSilent},
-		{"refuses for its share", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, _ *asked) {
+		}, Lost, reasonTimeout},
+		{"stops sending within the answer", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
+			answerPartially(ctx, c.correctText()[:60], func(*bufio.Writer) { time.Sleep(30 * time.Second) })
+		}, Lost, reasonTimeout},
+		{"refuses because of the share", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, _ *completionRequest) {
 			answerError(ctx, 429, "share", "not-run")
 		}, Refused, "share"},
-		{"fails", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, _ *asked) {
+		{"fails", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, _ *completionRequest) {
 			answerError(ctx, 502, "upstream", "may-have-run")
 		}, Failed, "upstream"},
-		{"tells two verdicts", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, _ *asked) {
+		{"verdicts of header and body differ", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, _ *completionRequest) {
 			answerError(ctx, 429, "share", "not-run")
 			ctx.Response.Header.Set(headerVerdict, "may-have-run")
 		}, Failed, "share"},
-		{"answers with something else", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, _ *asked) {
+		{"answers with an undocumented error", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, _ *completionRequest) {
 			ctx.SetStatusCode(502)
 			ctx.SetBodyString("bad gateway")
 		}, Failed, reasonMalformed},
@@ -94,18 +96,18 @@
 	}
 }
 
-// Callers hold addresses of instances that drain or died. They must find the
-// others without sending twice what may have run.
-func TestRunFollowsAddresses(t *testing.T) {
-	draining := func(ctx *fasthttp.RequestCtx, _ *fakeEntry, _ *asked) {
+// Callers have addresses of instances that are draining or dead. They must retry at
+// the others, but only requests that were not run.
+func TestRunRetriesUnrunRequestsAtOtherAddresses(t *testing.T) {
+	draining := func(ctx *fasthttp.RequestCtx, _ *fakeEntry, _ *completionRequest) {
 		answerError(ctx, 503, "draining", "not-run")
 	}
 	for _, test := range []struct {
 		name  string
 		fleet fleet
 	}{
-		{"one drains", fleet{"a": {prompt: draining}, "b": {prompt: rightPrompt}}},
-		{"one refuses connections", fleet{"a": {prompt: rightPrompt}, "b": {prompt: rightPrompt, down: true}}},
+		{"one drains", fleet{"a": {prompt: draining}, "b": {prompt: answerCorrectly}}},
+		{"one refuses connections", fleet{"a": {prompt: answerCorrectly}, "b": {prompt: answerCorrectly, down: true}}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			report := runAgainst(t, test.fleet, "counter", 30)
@@ -116,9 +118,9 @@
 	}
 }
 
-// A hold that ran twice cuts a bolt twice; a hold that ran although its caller
-// was told that it did not will be ordered again.
-func TestRunComparesCallsWithExecutions(t *testing.T) {
+// Guards against overlooking a call that ran twice, and a call that ran although it was
+// refused as not run, which its caller would therefore repeat.
+func TestRunDetectsRepeatedAndFalselyRefusedCalls(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		call    func(ctx *fasthttp.RequestCtx, f *fakeEntry, key string)
@@ -129,7 +131,7 @@
 		doubled int
 		untrue  int
 	}{
-		{"right", func(ctx *fasthttp.RequestCtx, f *fakeEntry, key string) {
+		{"correct", func(ctx *fasthttp.RequestCtx, f *fakeEntry, key string) {
 			f.execute(key)
 			answerCall(ctx, key)
 		}, 5, 0, 0, 0, 0, 0},
@@ -138,7 +140,7 @@
 			f.execute(key)
 			answerCall(ctx, key)
 		}, 5, 0, 0, 0, 5, 0},
-		{"runs it and says that it did not", func(ctx *fasthttp.RequestCtx, f *fakeEntry, key string) {
+		{"runs it and refuses it as not run", func(ctx *fasthttp.RequestCtx, f *fakeEntry, key string) {
 			f.execute(key)
 			answerError(ctx, 429, "limit", "not-run")
 		}, 0, 5, 0, 0, 0, 5},
@@ -147,14 +149,14 @@
 			ctx.Request.SetBodyString("other")
 			answerCall(ctx, key)
 		}, 0, 0, 0, 5, 0, 0},
-		{"runs it, breaks, and knows the key when it comes again", func(ctx *fasthttp.RequestCtx, f *fakeEntry, key string) {
+		{"runs it, closes the connection, and answers the repetition as a duplicate", func(ctx *fasthttp.RequestCtx, f *fakeEntry, key string) {
 			if !f.executeOnce(key) {
 				answerError(ctx, 409, "duplicate", "may-have-run")
 				return
 			}
 			ctx.Conn().Close()
 		}, 0, 0, 5, 0, 0, 0},
-		{"runs it, breaks, and refuses what comes again", func(ctx *fasthttp.RequestCtx, f *fakeEntry, key string) {
+		{"runs it, closes the connection, and refuses the repetition", func(ctx *fasthttp.RequestCtx, f *fakeEntry, key string) {
 			if !f.executeOnce(key) {
 				answerError(ctx, 429, "limit", "not-run")
 				return
@@ -165,8 +167,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			r := runAgainst(t, fleet{"a": {call: test.call}}, "hold", 5)
 			if r.All.Served != test.served || r.All.Refused != test.refused || r.All.Failed != test.failed ||
-				r.All.Crossed != test.crossed || r.Doubled != test.doubled || r.Untrue != test.untrue {
-				t.Errorf("%s, %d untrue; causes %+v", r.Summary(), r.Untrue, r.Causes)
+				r.All.Crossed != test.crossed || r.Doubled != test.doubled || r.FalselyRefused != test.untrue {
+				t.Errorf("%s, %d untrue; causes %+v", r.Summary(), r.FalselyRefused, r.Causes)
 			}
 			if r.Bad() != (test.crossed+test.doubled+test.untrue > 0) {
 				t.Errorf("bad: %v", r.Bad())
@@ -175,10 +177,10 @@
 	}
 }
 
-// A caller loses patience and makes its call again while the first is under way.
-// An instance that does not know the key runs both; one that does tells the
-// second at once, and what only one of the two was refused is not "not run".
-func TestRunMakesCallsTwiceAtOnce(t *testing.T) {
+// A caller repeats its call while the first is in flight. An instance that does not
+// recognise the key runs both; one that does answers the second at once. If only one
+// of the two was refused, the call does not count as refused.
+func TestConcurrentDuplicateCallsHaveOneOutcome(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		known   func(ctx *fasthttp.RequestCtx, key string)
@@ -186,7 +188,7 @@
 		doubled int
 	}{
 		{"runs both", nil, 5, 5},
-		{"tells the second", func(ctx *fasthttp.RequestCtx, _ string) { answerError(ctx, 409, "duplicate", "may-have-run") }, 5, 0},
+		{"answers the second as a duplicate", func(ctx *fasthttp.RequestCtx, _ string) { answerError(ctx, 409, "duplicate", "may-have-run") }, 5, 0},
 		{"refuses the second", func(ctx *fasthttp.RequestCtx, _ string) { answerError(ctx, 429, "limit", "not-run") }, 5, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -200,8 +202,8 @@
 				}
 				answerCall(ctx, key)
 			}}}, "hold", 5, func(o *Options) { o.ResendOneIn = 1 })
-			if report.All.Served != test.served || report.Doubled != test.doubled || report.Untrue != 0 || report.Tries != 10 {
-				t.Errorf("%s, %d untrue, %d tries", report.Summary(), report.Untrue, report.Tries)
+			if report.All.Served != test.served || report.Doubled != test.doubled || report.FalselyRefused != 0 || report.Tries != 10 {
+				t.Errorf("%s, %d untrue, %d tries", report.Summary(), report.FalselyRefused, report.Tries)
 			}
 		})
 	}
@@ -209,14 +211,14 @@
 
 func TestRunMarksPromptsThatMustNotRepeat(t *testing.T) {
 	var marked, keys atomic.Int64
-	f := fleet{"a": {prompt: func(ctx *fasthttp.RequestCtx, f *fakeEntry, c *asked) {
+	f := fleet{"a": {prompt: func(ctx *fasthttp.RequestCtx, f *fakeEntry, c *completionRequest) {
 		if string(ctx.Request.Header.Peek(headerNoRepeat)) == "true" {
 			marked.Add(1)
 		}
 		if len(ctx.Request.Header.Peek(headerKey)) > 0 {
 			keys.Add(1)
 		}
-		answerText(ctx, c, c.right())
+		answerText(ctx, c, c.correctText())
 	}}}
 	report := runWith(t, f, "counter", 9, func(o *Options) { o.NoRepeatOneIn = 3 })
 	if report.All.Served != 9 || marked.Load() != 3 || keys.Load() != 3 {
@@ -224,10 +226,10 @@
 	}
 }
 
-// The services cannot be asked what they executed. That must not look like
-// "0 doubled".
+// If the execution counts of the services cannot be fetched, the result must not look
+// like "0 doubled".
 func TestRunFailsWhenExecutionsAreUnknown(t *testing.T) {
-	f := fleet{"a": {prompt: rightPrompt}, "b": {down: true}}
+	f := fleet{"a": {prompt: answerCorrectly}, "b": {down: true}}
 	if report := runAgainst(t, f, "counter", 3); !report.Bad() || report.Counted {
 		t.Errorf("%+v", report)
 	}
@@ -237,7 +239,7 @@
 	for _, mix := range []Mix{Aretusa(), Brazos()} {
 		first, second := newGenerator(mix, 10, 7), newGenerator(mix, 10, 7)
 		lengths := make([]int, 5)
-		buckets := bucketsFor(DefaultEngineMemory)
+		buckets := lengthBuckets(DefaultEngineMemory)
 		for range 2000 {
 			a, _ := first.next()
 			b, _ := second.next()
--- a/load/table.go
+++ b/load/table.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes the report for people to read.
+// WriteTable writes the report as human-readable tables.
 func (r *Report) WriteTable(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	writeLines(w, "prompt tokens", r.Lengths)
@@ -20,7 +20,7 @@
 	}
 	fmt.Fprintf(to, "\nfirst token in ms, since the request was due; late: served after its deadline\n")
 	fmt.Fprintf(to, "%s mix, seed %d, %g requests a second, %.1f s, %d tries, %d unsent, %d untrue refusals\n",
-		r.Mix, r.Seed, r.Rate, r.Seconds, r.Tries, r.Unsent, r.Untrue)
+		r.Mix, r.Seed, r.Rate, r.Seconds, r.Tries, r.Unsent, r.FalselyRefused)
 	if r.CountsError != "" {
 		fmt.Fprintf(to, "doubled calls are unknown: %s\n", r.CountsError)
 	}
@@ -39,7 +39,7 @@
 	}
 }
 
-// cell formats a quantile, or a dash if there was nothing to measure.
+// cell formats a quantile, or returns a dash if nothing was measured.
 func (q *Quantiles) cell(ms float64) string {
 	if q.Count == 0 {
 		return "-"
--- a/load/tally.go
+++ b/load/tally.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	leastLatency = 1                       // microseconds
-	mostLatency  = int64(2 * 3600 * 1e6)   // microseconds
-	latencyUnit  = int64(time.Microsecond) // of the histograms
-	latencyGrade = 3                       // significant digits
+	minLatency    = 1                       // microseconds
+	maxLatency    = int64(2 * 3600 * 1e6)   // microseconds
+	latencyUnit   = int64(time.Microsecond) // of the histograms
+	latencyDigits = 3                       // significant digits
 )
 
-// group counts the results of the requests of one length or class.
+// group counts the results of the requests of one length bucket or class.
 type group struct {
 	name       string
 	results    map[Result]int
@@ -28,8 +28,8 @@
 	return &group{
 		name:       name,
 		results:    map[Result]int{},
-		firstToken: hdrhistogram.New(leastLatency, mostLatency, latencyGrade),
-		took:       hdrhistogram.New(leastLatency, mostLatency, latencyGrade),
+		firstToken: hdrhistogram.New(minLatency, maxLatency, latencyDigits),
+		took:       hdrhistogram.New(minLatency, maxLatency, latencyDigits),
 	}
 }
 
@@ -41,15 +41,15 @@
 	if o.Result != Served {
 		return
 	}
-	record(g.took, o.Took)
+	recordLatency(g.took, o.Took)
 	if o.FirstToken > 0 {
-		record(g.firstToken, o.FirstToken)
+		recordLatency(g.firstToken, o.FirstToken)
 	}
 }
 
-// record clamps, since a histogram refuses what is out of its range.
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(mostLatency, max(leastLatency, int64(d)/latencyUnit)))
+// recordLatency clamps the value, since a histogram rejects values out of its range.
+func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(maxLatency, max(minLatency, int64(d)/latencyUnit)))
 }
 
 // cause is a result with its reason.
@@ -58,38 +58,38 @@
 	reason string
 }
 
-// sent is what is known of one call that must not be repeated.
-type sent struct {
+// callRecord is the outcome of one request that must not be repeated.
+type callRecord struct {
 	key       string
 	requestID string
-	refused   bool // its caller was told that it was not run
+	refused   bool // refused as not run
 }
 
-// tally gathers the outcomes of a run. It is safe for concurrent use.
+// tally collects the outcomes of a run. It is safe for concurrent use.
 type tally struct {
-	mu      sync.Mutex
-	all     *group
-	buckets []bucket
-	lengths []*group
-	classes map[string]*group
-	order   []string // class names in the order of the mix
-	causes  map[cause]int
-	calls   []sent
-	told    accounts
-	offered int
-	tries   int
-	unsent  int
-	example map[cause]string // a detail of each cause
+	mu            sync.Mutex
+	all           *group
+	buckets       []bucket
+	lengths       []*group
+	classes       map[string]*group
+	order         []string // class names in the order of the mix
+	causes        map[cause]int
+	calls         []callRecord
+	accountCounts accounts
+	offered       int
+	tries         int
+	unsent        int
+	examples      map[cause]string // one detail text for each cause
 }
 
 func newTally(mix *Mix, engineMemory int) *tally {
 	t := &tally{
-		all:     newGroup("all"),
-		buckets: bucketsFor(engineMemory),
-		classes: map[string]*group{},
-		causes:  map[cause]int{},
-		told:    accounts{},
-		example: map[cause]string{},
+		all:           newGroup("all"),
+		buckets:       lengthBuckets(engineMemory),
+		classes:       map[string]*group{},
+		causes:        map[cause]int{},
+		accountCounts: accounts{},
+		examples:      map[cause]string{},
 	}
 	for _, b := range t.buckets {
 		t.lengths = append(t.lengths, newGroup(b.name))
@@ -115,20 +115,20 @@
 	if o.Result != Served {
 		c := cause{o.Result, o.Reason}
 		t.causes[c]++
-		if t.example[c] == "" {
-			t.example[c] = o.Detail
+		if t.examples[c] == "" {
+			t.examples[c] = o.Detail
 		}
 	}
 	if w.Key != "" {
-		t.calls = append(t.calls, sent{key: w.Key, requestID: o.RequestID, refused: o.Result == Refused})
+		t.calls = append(t.calls, callRecord{key: w.Key, requestID: o.RequestID, refused: o.Result == Refused})
 	}
 }
 
-// addTry counts what one try was told.
+// addTry counts the outcome of one try in the account of its organisation and class.
 func (t *tally) addTry(w *Work, o *Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.told.add(w, o)
+	t.accountCounts.add(w, o)
 }
 
 func (t *tally) addUnsent() {
@@ -137,13 +137,13 @@
 	t.unsent++
 }
 
-func (t *tally) offer() {
+func (t *tally) addOffered() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.offered++
 }
 
-// progress is one line on what happened so far.
+// progress returns a line with the counts so far.
 func (t *tally) progress() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
