--- a/bench/criteria.go
+++ b/bench/criteria.go
@@ -28,15 +28,15 @@
 }
 
 // String formats the criterion as one line of the report.
-func (b Bar) String() string {
+func (c Bar) String() string {
 	verdict, relation := "FAIL", "<="
-	if b.Pass {
+	if c.Pass {
 		verdict = "pass"
 	}
-	if b.AtLeast {
+	if c.AtLeast {
 		relation = ">="
 	}
-	return fmt.Sprintf("%s  %-28s %-44s %8.3f %s %.3g", verdict, b.Row, b.Metric, b.Value, relation, b.Limit)
+	return fmt.Sprintf("%s  %-28s %-44s %8.3f %s %.3g", verdict, c.Row, c.Metric, c.Value, relation, c.Limit)
 }
 
 func atMost(row, metric string, value, limit float64) Bar {
--- a/bench/table.go
+++ b/bench/table.go
@@ -16,8 +16,8 @@
 		writePolicy(out, string(Celeryport), m.Celeryport)
 	}
 	fmt.Fprintln(out)
-	for _, bar := range Bars(measured) {
-		fmt.Fprintln(out, bar)
+	for _, criterion := range Bars(measured) {
+		fmt.Fprintln(out, criterion)
 	}
 }
 
