--- a/bench/criteria.go
+++ b/bench/criteria.go
@@ -16,9 +16,9 @@
 	maxShareError     = 0.10
 )
 
-// Bar is one acceptance criterion of a row with its measured value, the median
+// Criterion is one acceptance criterion of a row with its measured value, the median
 // over the seeds.
-type Bar struct {
+type Criterion struct {
 	Row     string  `json:"row"`
 	Metric  string  `json:"what"`
 	Value   float64 `json:"figure"`
@@ -28,7 +28,7 @@
 }
 
 // String formats the criterion as one line of the report.
-func (c Bar) String() string {
+func (c Criterion) String() string {
 	verdict, relation := "FAIL", "<="
 	if c.Pass {
 		verdict = "pass"
@@ -39,17 +39,17 @@
 	return fmt.Sprintf("%s  %-28s %-44s %8.3f %s %.3g", verdict, c.Row, c.Metric, c.Value, relation, c.Limit)
 }
 
-func atMost(row, metric string, value, limit float64) Bar {
-	return Bar{Row: row, Metric: metric, Value: value, Limit: limit, Pass: value <= limit}
+func atMost(row, metric string, value, limit float64) Criterion {
+	return Criterion{Row: row, Metric: metric, Value: value, Limit: limit, Pass: value <= limit}
 }
 
-func atLeast(row, metric string, value, limit float64) Bar {
-	return Bar{Row: row, Metric: metric, Value: value, Limit: limit, AtLeast: true, Pass: value >= limit}
+func atLeast(row, metric string, value, limit float64) Criterion {
+	return Criterion{Row: row, Metric: metric, Value: value, Limit: limit, AtLeast: true, Pass: value >= limit}
 }
 
 // Bars evaluates the acceptance criteria of the measured rows.
-func Bars(measured []*Measured) []Bar {
-	var criteria []Bar
+func Bars(measured []*Measured) []Criterion {
+	var criteria []Criterion
 	for _, m := range measured {
 		switch {
 		case m.row.Fault != NoFault:
@@ -67,10 +67,10 @@
 	return median(m.Celeryport, func(r *Result) float64 { return r.Slowdown })
 }
 
-func (m *Measured) normalCriteria() []Bar {
+func (m *Measured) normalCriteria() []Criterion {
 	naive := median(m.Naive, func(r *Result) float64 { return r.Slowdown })
 	long := func(r *Result) float64 { return float64(r.LongTokens) }
-	criteria := []Bar{
+	criteria := []Criterion{
 		atMost(m.Row, "short slowdown p95", m.slowdown(), maxSlowdown),
 		atLeast(m.Row, "naive's short slowdown over it", naive/m.slowdown(), minNaiveRatio),
 		atLeast(m.Row, "long tokens over naive's", median(m.Celeryport, long)/median(m.Naive, long), minLongTokenRatio),
@@ -82,7 +82,7 @@
 	return criteria
 }
 
-func (m *Measured) overloadCriteria() []Bar {
+func (m *Measured) overloadCriteria() []Criterion {
 	late := median(m.Celeryport, func(r *Result) float64 { return float64(r.Late) })
 	delay := median(m.Celeryport, func(r *Result) float64 { return r.RefusalDelay })
 	worst, worstOrganisation := 0.0, ""
@@ -92,7 +92,7 @@
 			worst, worstOrganisation = deviation, o.Name
 		}
 	}
-	return []Bar{
+	return []Criterion{
 		atMost(m.Row, "finished late", late, 0),
 		atMost(m.Row, "refused after it was hopeless, s", delay, maxRefusalDelay),
 		atMost(m.Row, strings.TrimSpace("served share off its weight, worst "+worstOrganisation), worst, maxShareError),
--- a/cli/bench.go
+++ b/cli/bench.go
@@ -42,7 +42,7 @@
 // benchReport is the JSON output.
 type benchReport struct {
 	Rows []*bench.Measured `json:"rows"`
-	Bars []bench.Bar       `json:"bars"`
+	Bars []bench.Criterion `json:"bars"`
 }
 
 func runBench(stdout io.Writer, c *urfave.Command) error {
@@ -67,7 +67,7 @@
 
 // failedBars fails the command when a figure misses its bar: a script that runs it
 // would otherwise take the miss for a pass.
-func failedBars(bars []bench.Bar) error {
+func failedBars(bars []bench.Criterion) error {
 	failed := 0
 	for _, bar := range bars {
 		if !bar.Pass {
