--- a/bench/criteria.go
+++ b/bench/criteria.go
@@ -47,8 +47,8 @@
 	return Criterion{Row: row, Metric: metric, Value: value, Limit: limit, AtLeast: true, Pass: value >= limit}
 }
 
-// Bars evaluates the acceptance criteria of the measured rows.
-func Bars(measured []*Measured) []Criterion {
+// Criteria evaluates the acceptance criteria of the measured rows.
+func Criteria(measured []*Measured) []Criterion {
 	var criteria []Criterion
 	for _, m := range measured {
 		switch {
--- a/bench/table.go
+++ b/bench/table.go
@@ -16,7 +16,7 @@
 		writePolicy(out, string(Celeryport), m.Celeryport)
 	}
 	fmt.Fprintln(out)
-	for _, criterion := range Bars(measured) {
+	for _, criterion := range Criteria(measured) {
 		fmt.Fprintln(out, criterion)
 	}
 }
--- a/cli/bench.go
+++ b/cli/bench.go
@@ -54,7 +54,7 @@
 	if len(measured) == 0 {
 		return &ExitError{Code: ExitUsage, Err: errors.Newf("no row is called %q; see --list", c.String("row"))}
 	}
-	bars := bench.Bars(measured)
+	bars := bench.Criteria(measured)
 	if format == "json" {
 		if err := json.NewEncoder(stdout).Encode(benchReport{Rows: measured, Bars: bars}); err != nil {
 			return errors.Wrap(err, "write the report")
