--- a/bench/criteria.go
+++ b/bench/criteria.go
@@ -48,7 +48,7 @@
 }
 
 // Criteria evaluates the acceptance criteria of the measured rows.
-func Criteria(measured []*Measured) []Criterion {
+func Criteria(measured []*MeasuredRow) []Criterion {
 	var criteria []Criterion
 	for _, m := range measured {
 		switch {
@@ -63,11 +63,11 @@
 	return criteria
 }
 
-func (m *Measured) slowdown() float64 {
+func (m *MeasuredRow) slowdown() float64 {
 	return median(m.Celeryport, func(r *Result) float64 { return r.Slowdown })
 }
 
-func (m *Measured) normalCriteria() []Criterion {
+func (m *MeasuredRow) normalCriteria() []Criterion {
 	naive := median(m.Naive, func(r *Result) float64 { return r.Slowdown })
 	long := func(r *Result) float64 { return float64(r.LongTokens) }
 	criteria := []Criterion{
@@ -82,7 +82,7 @@
 	return criteria
 }
 
-func (m *Measured) overloadCriteria() []Criterion {
+func (m *MeasuredRow) overloadCriteria() []Criterion {
 	late := median(m.Celeryport, func(r *Result) float64 { return float64(r.Late) })
 	delay := median(m.Celeryport, func(r *Result) float64 { return r.RefusalDelay })
 	worst, worstOrganisation := 0.0, ""
--- a/bench/run.go
+++ b/bench/run.go
@@ -30,8 +30,8 @@
 	return o
 }
 
-// Measured is one row with the results of both policies, one result per seed.
-type Measured struct {
+// MeasuredRow is one row with the results of both policies, one result per seed.
+type MeasuredRow struct {
 	Row        string    `json:"row"`
 	Celeryport []*Result `json:"celeryport"`
 	Naive      []*Result `json:"naive"`
@@ -40,14 +40,14 @@
 }
 
 // Run measures the rows that match the filter.
-func Run(options Options) []*Measured {
+func Run(options Options) []*MeasuredRow {
 	options = options.withDefaults()
-	var measured []*Measured
+	var measured []*MeasuredRow
 	for _, row := range Rows() {
 		if !strings.Contains(row.Name(), options.Filter) {
 			continue
 		}
-		measured = append(measured, &Measured{
+		measured = append(measured, &MeasuredRow{
 			Row: row.Name(), row: row,
 			Celeryport: make([]*Result, options.Seeds), Naive: make([]*Result, options.Seeds),
 		})
@@ -58,7 +58,7 @@
 
 // runAll executes all runs on a few goroutines. Each run has its own state, so the
 // results do not depend on the order in which the runs finish.
-func runAll(options Options, measured []*Measured) {
+func runAll(options Options, measured []*MeasuredRow) {
 	work := make(chan func())
 	var workers sync.WaitGroup
 	for range options.Workers {
--- a/bench/table.go
+++ b/bench/table.go
@@ -7,7 +7,7 @@
 
 // WriteTable writes the rows, each with both policies below each other, and then
 // the acceptance criteria.
-func WriteTable(out io.Writer, measured []*Measured) {
+func WriteTable(out io.Writer, measured []*MeasuredRow) {
 	fmt.Fprintln(out, "Medians of the seeds. Time to first token in seconds, p50/p95/p99, by prompt length.")
 	for _, m := range measured {
 		fmt.Fprintf(out, "\n%s\n", m.Row)
--- a/cli/bench.go
+++ b/cli/bench.go
@@ -41,8 +41,8 @@
 
 // benchReport is the JSON output.
 type benchReport struct {
-	Rows []*bench.Measured `json:"rows"`
-	Bars []bench.Criterion `json:"bars"`
+	Rows []*bench.MeasuredRow `json:"rows"`
+	Bars []bench.Criterion    `json:"bars"`
 }
 
 func runBench(stdout io.Writer, c *urfave.Command) error {
