--- a/cli/load.go
+++ b/cli/load.go
@@ -115,7 +115,7 @@
 		Seed:             c.Uint64("seed"),
 		DeadlineScale:    c.Float("deadline-scale"),
 		Grace:            c.Duration("grace"),
-		MostInFlight:     c.Int("most-in-flight"),
+		MaxInFlight:      c.Int("most-in-flight"),
 		EngineMemory:     c.Int("engine-memory"),
 		ResendOneIn:      c.Int("resend-one-in"),
 		NoRepeatOneIn:    c.Int("no-repeat-one-in"),
--- a/load/bench_test.go
+++ b/load/bench_test.go
@@ -31,7 +31,7 @@
 	const unbounded = 1e6
 	report, err := Run(context.Background(), Options{
 		Mix: mix, Keys: Keys{"bottega": "key"}, To: []string{address},
-		Rate: unbounded, Requests: b.N, MostInFlight: b.N + 1,
+		Rate: unbounded, Requests: b.N, MaxInFlight: b.N + 1,
 	})
 	if err != nil || report.All.Served != b.N {
 		b.Fatalf("%v, %+v", err, report)
--- a/load/options.go
+++ b/load/options.go
@@ -19,7 +19,7 @@
 	Seed             uint64
 	DeadlineScale    float64       // factor applied to the deadlines of the classes; 0 means 1
 	Grace            time.Duration // a request without an outcome this long after its deadline counts as lost
-	MostInFlight     int           // further requests are not sent but counted as unsent
+	MaxInFlight      int           // further requests are not sent but counted as unsent
 	EngineMemory     int           // tokens; upper limit of the last but one length bucket
 	ResendOneIn      int           // one in so many calls with an idempotency key is sent twice concurrently; 0: none
 	NoRepeatOneIn    int           // one in so many prompts is marked as not to be repeated; 0: none
@@ -48,8 +48,8 @@
 	if o.Grace <= 0 {
 		o.Grace = DefaultGrace
 	}
-	if o.MostInFlight <= 0 {
-		o.MostInFlight = DefaultMostInFlight
+	if o.MaxInFlight <= 0 {
+		o.MaxInFlight = DefaultMostInFlight
 	}
 	if o.EngineMemory <= 0 {
 		o.EngineMemory = DefaultEngineMemory
--- a/load/run.go
+++ b/load/run.go
@@ -35,7 +35,7 @@
 	o.Mix = mix
 	// A non-blocking pool keeps the loop open: if a slow fleet slowed down the load
 	// generator, its real latency would not be measured.
-	pool, err := ants.NewPool(o.MostInFlight, ants.WithNonblocking(true))
+	pool, err := ants.NewPool(o.MaxInFlight, ants.WithNonblocking(true))
 	if err != nil {
 		return nil, errors.Wrap(err, "start the pool")
 	}
