--- a/cli/load.go
+++ b/cli/load.go
@@ -41,7 +41,7 @@
 			&urfave.StringFlag{Name: flagZone, Usage: "availability zone of the callers, preferred among the addresses"},
 			&urfave.FloatFlag{Name: "deadline-scale", Usage: "times the deadlines of the classes, for stand-ins with a time scale", Value: 1},
 			&urfave.DurationFlag{Name: "grace", Usage: "a request without an end so long after its deadline is lost", Value: load.DefaultGrace},
-			&urfave.IntFlag{Name: "most-in-flight", Usage: "above it requests are not sent but counted as unsent", Value: load.DefaultMostInFlight},
+			&urfave.IntFlag{Name: "most-in-flight", Usage: "above it requests are not sent but counted as unsent", Value: load.DefaultMaxInFlight},
 			&urfave.IntFlag{Name: "engine-memory", Usage: "memory of one engine in tokens, for the table", Value: load.DefaultEngineMemory},
 			&urfave.IntFlag{Name: "resend-one-in", Usage: "make one in so many calls with a key twice at once; 0: none"},
 			&urfave.IntFlag{Name: "no-repeat-one-in", Usage: "mark one in so many prompts as not to be repeated; 0: none"},
--- a/load/options.go
+++ b/load/options.go
@@ -34,7 +34,7 @@
 const (
 	DefaultRate         = 20
 	DefaultGrace        = 5 * time.Second
-	DefaultMostInFlight = 10_000
+	DefaultMaxInFlight  = 10_000
 	DefaultEngineMemory = 400_000
 )
 
@@ -49,7 +49,7 @@
 		o.Grace = DefaultGrace
 	}
 	if o.MaxInFlight <= 0 {
-		o.MaxInFlight = DefaultMostInFlight
+		o.MaxInFlight = DefaultMaxInFlight
 	}
 	if o.EngineMemory <= 0 {
 		o.EngineMemory = DefaultEngineMemory
