--- a/cli/load.go
+++ b/cli/load.go
@@ -71,7 +71,7 @@
 	if err := writeLoad(c.String("output"), report, stdout); err != nil {
 		return &ExitError{Code: ExitFailed, Err: err}
 	}
-	if report.Bad() {
+	if report.HasViolations() {
 		return &ExitError{Code: ExitFailed, Err: errPromiseBroken}
 	}
 	return nil
--- a/load/report.go
+++ b/load/report.go
@@ -58,9 +58,9 @@
 	Accounts       []Account `json:"accounts"`
 }
 
-// Bad reports whether a guarantee to callers was violated, or could not be checked
+// HasViolations reports whether a guarantee to callers was violated, or could not be checked
 // although the check was requested.
-func (r *Report) Bad() bool {
+func (r *Report) HasViolations() bool {
 	return r.All.Lost+r.Doubled+r.All.Crossed+r.FalselyRefused > 0 || r.CountsError != ""
 }
 
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -86,8 +86,8 @@
 			if test.reason != "" && report.Causes[0].Reason != test.reason {
 				t.Errorf("causes %+v, want %s", report.Causes, test.reason)
 			}
-			if bad := test.result == Lost || test.result == Crossed; report.Bad() != bad {
-				t.Errorf("bad: %v", report.Bad())
+			if bad := test.result == Lost || test.result == Crossed; report.HasViolations() != bad {
+				t.Errorf("bad: %v", report.HasViolations())
 			}
 			if report.Tries != 5 {
 				t.Errorf("%d tries of work that may have run or that every instance refuses", report.Tries)
@@ -170,8 +170,8 @@
 				r.All.Crossed != test.crossed || r.Doubled != test.doubled || r.FalselyRefused != test.untrue {
 				t.Errorf("%s, %d untrue; causes %+v", r.Summary(), r.FalselyRefused, r.Causes)
 			}
-			if r.Bad() != (test.crossed+test.doubled+test.untrue > 0) {
-				t.Errorf("bad: %v", r.Bad())
+			if r.HasViolations() != (test.crossed+test.doubled+test.untrue > 0) {
+				t.Errorf("bad: %v", r.HasViolations())
 			}
 		})
 	}
@@ -230,7 +230,7 @@
 // like "0 doubled".
 func TestRunFailsWhenExecutionsAreUnknown(t *testing.T) {
 	f := fleet{"a": {prompt: answerCorrectly}, "b": {down: true}}
-	if report := runAgainst(t, f, "counter", 3); !report.Bad() || report.Counted {
+	if report := runAgainst(t, f, "counter", 3); !report.HasViolations() || report.Counted {
 		t.Errorf("%+v", report)
 	}
 }
