--- a/bench/send_attempt.go
+++ b/bench/send_attempt.go
@@ -30,40 +30,40 @@
 	spanEfficiency    = 0.8 // speedup over one engine of a prompt that is spread over k engines, divided by k
 )
 
-func (attempt *sendAttempt) id() string {
-	return jobID(attempt.instance.name, attempt.request.ID, attempt.number)
+func (s *sendAttempt) id() string {
+	return jobID(s.instance.name, s.request.ID, s.number)
 }
 
-func (attempt *sendAttempt) host(part int) *host {
-	return attempt.instance.simulation.hosts[attempt.parts[part].Name]
+func (s *sendAttempt) host(part int) *host {
+	return s.instance.simulation.hosts[s.parts[part].Name]
 }
 
 // arrive handles the arrival of the attempt at the upstream: it reserves a span
 // or submits the job to the only engine.
-func (attempt *sendAttempt) arrive() {
-	if attempt.done {
+func (s *sendAttempt) arrive() {
+	if s.done {
 		return
 	}
-	if len(attempt.parts) > 1 {
-		attempt.reserve(0)
+	if len(s.parts) > 1 {
+		s.reserve(0)
 		return
 	}
-	job := attempt.job()
+	job := s.job()
 	job.MemoryTokens = 0
-	if !attempt.sameIncarnation(0) || !attempt.host(0).submit(attempt, job) {
-		attempt.fail(verdict.NotRun)
+	if !s.sameIncarnation(0) || !s.host(0).submit(s, job) {
+		s.fail(verdict.NotRun)
 	}
 }
 
-func (attempt *sendAttempt) sameIncarnation(part int) bool {
-	h := attempt.host(part)
-	return !h.down && h.incarnation == attempt.parts[part].Incarnation
+func (s *sendAttempt) sameIncarnation(part int) bool {
+	h := s.host(part)
+	return !h.down && h.incarnation == s.parts[part].Incarnation
 }
 
-func (attempt *sendAttempt) job() enginemodel.Job {
-	r := attempt.request
+func (s *sendAttempt) job() enginemodel.Job {
+	r := s.request
 	return enginemodel.Job{
-		ID: attempt.id(), Owner: attempt.instance.name, Priority: attempt.priority,
+		ID: s.id(), Owner: s.instance.name, Priority: s.priority,
 		PromptTokens: r.PromptTokens, OutputTokens: r.OutputTokens,
 		PrefixHash: r.PrefixHash, PrefixTokens: r.PrefixTokens,
 	}
@@ -71,49 +71,49 @@
 
 // reserve reserves the parts one after the other, in the order of the placement,
 // and releases all of them if one is not granted.
-func (attempt *sendAttempt) reserve(part int) {
-	if attempt.done {
+func (s *sendAttempt) reserve(part int) {
+	if s.done {
 		return
 	}
-	if part == len(attempt.parts) {
-		attempt.startSpan()
+	if part == len(s.parts) {
+		s.startSpan()
 		return
 	}
-	if !attempt.reservePart(part) {
-		attempt.release()
-		attempt.fail(verdict.NotRun)
+	if !s.reservePart(part) {
+		s.release()
+		s.fail(verdict.NotRun)
 		return
 	}
-	attempt.reserved = part + 1
-	attempt.instance.simulation.after(2*networkDelay, func() { attempt.reserve(part + 1) })
+	s.reserved = part + 1
+	s.instance.simulation.after(2*networkDelay, func() { s.reserve(part + 1) })
 }
 
-func (attempt *sendAttempt) reservePart(part int) bool {
-	if !attempt.sameIncarnation(part) {
+func (s *sendAttempt) reservePart(part int) bool {
+	if !s.sameIncarnation(part) {
 		return false
 	}
-	h := attempt.host(part)
-	granted, _ := h.engine.Reserve(attempt.instance.simulation.time(), attempt.id(), attempt.instance.name, attempt.parts[part].Tokens, spanLease)
+	h := s.host(part)
+	granted, _ := h.engine.Reserve(s.instance.simulation.time(), s.id(), s.instance.name, s.parts[part].Tokens, spanLease)
 	h.advance()
 	return granted
 }
 
-func (attempt *sendAttempt) startSpan() {
-	lead := attempt.lead()
-	job := attempt.job()
-	job.MemoryTokens = attempt.parts[lead].Tokens
-	job.SpanSpeedup = spanEfficiency * float64(len(attempt.parts))
-	if !attempt.sameIncarnation(lead) || !attempt.host(lead).submit(attempt, job) {
-		attempt.release()
-		attempt.fail(verdict.NotRun)
+func (s *sendAttempt) startSpan() {
+	lead := s.lead()
+	job := s.job()
+	job.MemoryTokens = s.parts[lead].Tokens
+	job.SpanSpeedup = spanEfficiency * float64(len(s.parts))
+	if !s.sameIncarnation(lead) || !s.host(lead).submit(s, job) {
+		s.release()
+		s.fail(verdict.NotRun)
 		return
 	}
-	attempt.instance.simulation.after(spanRenewInterval, attempt.renew)
+	s.instance.simulation.after(spanRenewInterval, s.renew)
 }
 
-func (attempt *sendAttempt) lead() int {
-	for i := range attempt.parts {
-		if attempt.parts[i].Lead {
+func (s *sendAttempt) lead() int {
+	for i := range s.parts {
+		if s.parts[i].Lead {
 			return i
 		}
 	}
@@ -122,81 +122,81 @@
 
 // renew renews the reservations of a running span. If one cannot be renewed, the
 // span is cancelled and the attempt fails.
-func (attempt *sendAttempt) renew() {
-	if attempt.done {
+func (s *sendAttempt) renew() {
+	if s.done {
 		return
 	}
-	for part := range attempt.parts {
-		if part != attempt.lead() && !attempt.reservePart(part) {
-			attempt.cancel()
-			attempt.fail(verdict.MayHaveRun)
+	for part := range s.parts {
+		if part != s.lead() && !s.reservePart(part) {
+			s.cancel()
+			s.fail(verdict.MayHaveRun)
 			return
 		}
 	}
-	attempt.instance.simulation.after(spanRenewInterval, attempt.renew)
+	s.instance.simulation.after(spanRenewInterval, s.renew)
 }
 
 // release releases the reserved parts.
-func (attempt *sendAttempt) release() {
-	for part := range attempt.reserved {
-		attempt.host(part).cancel(attempt.id())
+func (s *sendAttempt) release() {
+	for part := range s.reserved {
+		s.host(part).cancel(s.id())
 	}
-	attempt.reserved = 0
+	s.reserved = 0
 }
 
 // cancel cancels the attempt on all its engines.
-func (attempt *sendAttempt) cancel() {
-	for part := range attempt.parts {
-		if attempt.sameIncarnation(part) {
-			attempt.host(part).cancel(attempt.id())
+func (s *sendAttempt) cancel() {
+	for part := range s.parts {
+		if s.sameIncarnation(part) {
+			s.host(part).cancel(s.id())
 		}
 	}
 }
 
-func (attempt *sendAttempt) firstToken(enginemodel.Event) {
-	if attempt.done || attempt.started {
+func (s *sendAttempt) firstToken(enginemodel.Event) {
+	if s.done || s.started {
 		return
 	}
-	attempt.started = true
-	sim := attempt.instance.simulation
-	sim.recorder.firstToken(sim.now, attempt.request)
-	attempt.instance.dispatcher.FirstToken(sim.time(), attempt.request.ID)
-	attempt.instance.applyActions()
+	s.started = true
+	sim := s.instance.simulation
+	sim.recorder.firstToken(sim.now, s.request)
+	s.instance.dispatcher.FirstToken(sim.time(), s.request.ID)
+	s.instance.applyActions()
 }
 
-func (attempt *sendAttempt) finished(e enginemodel.Event) {
-	if attempt.instance.down {
+func (s *sendAttempt) finished(e enginemodel.Event) {
+	if s.instance.down {
 		return
 	}
-	if len(attempt.parts) > 1 {
-		attempt.release()
+	if len(s.parts) > 1 {
+		s.release()
 	}
-	if attempt.done {
+	if s.done {
 		return
 	}
-	sim := attempt.instance.simulation
-	sim.recorder.finished(sim.now, attempt.request)
-	attempt.instance.finish(attempt, dispatch.Outcome{AnswerTokens: attempt.request.OutputTokens, CachedTokens: e.Cached})
+	sim := s.instance.simulation
+	sim.recorder.finished(sim.now, s.request)
+	s.instance.finish(s, dispatch.Outcome{AnswerTokens: s.request.OutputTokens, CachedTokens: e.Cached})
 }
 
 // connectionLost fails an attempt whose engine crashed and releases its parts on
 // the other engines.
-func (attempt *sendAttempt) connectionLost() {
-	if attempt.done {
+func (s *sendAttempt) connectionLost() {
+	if s.done {
 		return
 	}
-	for part := range attempt.reserved {
-		if attempt.sameIncarnation(part) {
-			attempt.host(part).cancel(attempt.id())
+	for part := range s.reserved {
+		if s.sameIncarnation(part) {
+			s.host(part).cancel(s.id())
 		}
 	}
-	attempt.fail(verdict.MayHaveRun)
+	s.fail(verdict.MayHaveRun)
 }
 
 // fail reports a failure to the instance after the network delay. The callers of
 // the bench read resumable streams.
-func (attempt *sendAttempt) fail(v verdict.Verdict) {
+func (s *sendAttempt) fail(v verdict.Verdict) {
 	err := verdict.New(v, verdict.ReasonUpstream, "failed")
-	outcome := dispatch.Outcome{Err: err, Delivered: attempt.started, Resumable: true}
-	attempt.instance.simulation.after(networkDelay, func() { attempt.instance.finish(attempt, outcome) })
+	outcome := dispatch.Outcome{Err: err, Delivered: s.started, Resumable: true}
+	s.instance.simulation.after(networkDelay, func() { s.instance.finish(s, outcome) })
 }
