--- a/load/report.go
+++ b/load/report.go
@@ -58,8 +58,8 @@
 	Accounts       []Account `json:"accounts"`
 }
 
-// HasViolations reports whether a guarantee to callers was violated, or could not be checked
-// although the check was requested.
+// HasViolations reports whether a guarantee to callers was violated, or could not be
+// checked although the check was requested.
 func (r *Report) HasViolations() bool {
 	return r.All.Lost+r.Doubled+r.All.Crossed+r.FalselyRefused > 0 || r.CountsError != ""
 }
--- a/load/run_test.go
+++ b/load/run_test.go
@@ -33,7 +33,7 @@
 		{"short, delivered as complete", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
 			answerText(ctx, c, c.correctText()[:60])
 		}, Crossed, reasonWrongText},
-		{"twice", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
+		{"text repeated", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
 			answerText(ctx, c, c.correctText()+c.correctText())
 		}, Crossed, reasonWrongText},
 		{"events of another request", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
@@ -44,10 +44,10 @@
 		{"ends without the end marker", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
 			answerPartially(ctx, c.correctText()[:60], func(*bufio.Writer) {})
 		}, Failed, reasonCutOff},
-		{"fails with an event", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
+		{"fails with an error event", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
 			answerPartially(ctx, c.correctText()[:60], failureEvent)
 		}, Failed, "upstream"},
-		{"fails with an event after a wrong text", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
+		{"fails with an error event after a wrong text", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, c *completionRequest) {
 			answerPartially(ctx, "bolt", failureEvent)
 		}, Crossed, reasonWrongPart},
 		{"closes without an answer", func(ctx *fasthttp.RequestCtx, _ *fakeEntry, _ *completionRequest) {
@@ -87,10 +87,10 @@
 				t.Errorf("causes %+v, want %s", report.Causes, test.reason)
 			}
 			if bad := test.result == Lost || test.result == Crossed; report.HasViolations() != bad {
-				t.Errorf("bad: %v", report.HasViolations())
+				t.Errorf("violations: %v", report.HasViolations())
 			}
 			if report.Tries != 5 {
-				t.Errorf("%d tries of work that may have run or that every instance refuses", report.Tries)
+				t.Errorf("%d tries of requests that must not be retried", report.Tries)
 			}
 		})
 	}
@@ -122,14 +122,14 @@
 // refused as not run, which its caller would therefore repeat.
 func TestRunDetectsRepeatedAndFalselyRefusedCalls(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		call    func(ctx *fasthttp.RequestCtx, f *fakeEntry, key string)
-		served  int
-		refused int
-		failed  int
-		crossed int
-		doubled int
-		untrue  int
+		name           string
+		call           func(ctx *fasthttp.RequestCtx, f *fakeEntry, key string)
+		served         int
+		refused        int
+		failed         int
+		crossed        int
+		doubled        int
+		falselyRefused int
 	}{
 		{"correct", func(ctx *fasthttp.RequestCtx, f *fakeEntry, key string) {
 			f.execute(key)
@@ -167,11 +167,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			r := runAgainst(t, fleet{"a": {call: test.call}}, "hold", 5)
 			if r.All.Served != test.served || r.All.Refused != test.refused || r.All.Failed != test.failed ||
-				r.All.Crossed != test.crossed || r.Doubled != test.doubled || r.FalselyRefused != test.untrue {
-				t.Errorf("%s, %d untrue; causes %+v", r.Summary(), r.FalselyRefused, r.Causes)
+				r.All.Crossed != test.crossed || r.Doubled != test.doubled || r.FalselyRefused != test.falselyRefused {
+				t.Errorf("%s, %d falsely refused; causes %+v", r.Summary(), r.FalselyRefused, r.Causes)
 			}
-			if r.HasViolations() != (test.crossed+test.doubled+test.untrue > 0) {
-				t.Errorf("bad: %v", r.HasViolations())
+			if r.HasViolations() != (test.crossed+test.doubled+test.falselyRefused > 0) {
+				t.Errorf("violations: %v", r.HasViolations())
 			}
 		})
 	}
@@ -182,10 +182,10 @@
 // of the two was refused, the call does not count as refused.
 func TestConcurrentDuplicateCallsHaveOneOutcome(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		known   func(ctx *fasthttp.RequestCtx, key string)
-		served  int
-		doubled int
+		name        string
+		onDuplicate func(ctx *fasthttp.RequestCtx, key string)
+		served      int
+		doubled     int
 	}{
 		{"runs both", nil, 5, 5},
 		{"answers the second as a duplicate", func(ctx *fasthttp.RequestCtx, _ string) { answerError(ctx, 409, "duplicate", "may-have-run") }, 5, 0},
@@ -194,16 +194,16 @@
 		t.Run(test.name, func(t *testing.T) {
 			report := runWith(t, fleet{"a": {call: func(ctx *fasthttp.RequestCtx, f *fakeEntry, key string) {
 				switch {
-				case test.known == nil:
+				case test.onDuplicate == nil:
 					f.execute(key)
 				case !f.executeOnce(key):
-					test.known(ctx, key)
+					test.onDuplicate(ctx, key)
 					return
 				}
 				answerCall(ctx, key)
 			}}}, "hold", 5, func(o *Options) { o.ResendOneIn = 1 })
 			if report.All.Served != test.served || report.Doubled != test.doubled || report.FalselyRefused != 0 || report.Tries != 10 {
-				t.Errorf("%s, %d untrue, %d tries", report.Summary(), report.FalselyRefused, report.Tries)
+				t.Errorf("%s, %d falsely refused, %d tries", report.Summary(), report.FalselyRefused, report.Tries)
 			}
 		})
 	}
