--- a/bench/run.go
+++ b/bench/run.go
@@ -7,14 +7,14 @@
 	"sync"
 )
 
-// Options choose what is measured.
+// Options select the rows and runs to measure.
 type Options struct {
-	Filter  string // rows whose name contains it; empty: all
+	Filter  string // measure only rows whose name contains it; empty: all rows
 	Seeds   int
-	Workers int // rows measured at one time
+	Workers int // runs executed concurrently
 }
 
-// The limits of the options.
+// Defaults of the options.
 const (
 	defaultSeeds = 3
 	maxWorkers   = 6
@@ -30,8 +30,8 @@
 	return o
 }
 
-// Measured is one row with the results of both policies, one for each seed.
-type Measured struct {
+// MeasuredRow is one row with the results of both policies, one result per seed.
+type MeasuredRow struct {
 	Row        string    `json:"row"`
 	Celeryport []*Result `json:"celeryport"`
 	Naive      []*Result `json:"naive"`
@@ -39,15 +39,15 @@
 	row Row
 }
 
-// Run measures the rows.
-func Run(options Options) []*Measured {
+// Run measures the rows that match the filter.
+func Run(options Options) []*MeasuredRow {
 	options = options.withDefaults()
-	var measured []*Measured
+	var measured []*MeasuredRow
 	for _, row := range Rows() {
 		if !strings.Contains(row.Name(), options.Filter) {
 			continue
 		}
-		measured = append(measured, &Measured{
+		measured = append(measured, &MeasuredRow{
 			Row: row.Name(), row: row,
 			Celeryport: make([]*Result, options.Seeds), Naive: make([]*Result, options.Seeds),
 		})
@@ -56,9 +56,9 @@
 	return measured
 }
 
-// runAll plays every run on a few goroutines. Each run has its own state, so the
-// order in which they end changes nothing.
-func runAll(options Options, measured []*Measured) {
+// runAll executes all runs on a few goroutines. Each run has its own state, so the
+// results do not depend on the order in which the runs finish.
+func runAll(options Options, measured []*MeasuredRow) {
 	work := make(chan func())
 	var workers sync.WaitGroup
 	for range options.Workers {
@@ -78,7 +78,7 @@
 	workers.Wait()
 }
 
-// median of what a function reads from each seed's result.
+// median returns the median over the seeds of a value read from each result.
 func median(results []*Result, read func(*Result) float64) float64 {
 	values := make([]float64, len(results))
 	for i, r := range results {
--- a/bench/table.go
+++ b/bench/table.go
@@ -5,8 +5,9 @@
 	"io"
 )
 
-// WriteTable prints the rows, the two policies below each other, and the bars.
-func WriteTable(out io.Writer, measured []*Measured) {
+// WriteTable writes the rows, each with both policies below each other, and then
+// the acceptance criteria.
+func WriteTable(out io.Writer, measured []*MeasuredRow) {
 	fmt.Fprintln(out, "Medians of the seeds. Time to first token in seconds, p50/p95/p99, by prompt length.")
 	for _, m := range measured {
 		fmt.Fprintf(out, "\n%s\n", m.Row)
@@ -15,8 +16,8 @@
 		writePolicy(out, string(Celeryport), m.Celeryport)
 	}
 	fmt.Fprintln(out)
-	for _, bar := range Bars(measured) {
-		fmt.Fprintln(out, bar)
+	for _, criterion := range Criteria(measured) {
+		fmt.Fprintln(out, criterion)
 	}
 }
 
--- a/cli/bench.go
+++ b/cli/bench.go
@@ -41,8 +41,8 @@
 
 // benchReport is the JSON output.
 type benchReport struct {
-	Rows []*bench.Measured `json:"rows"`
-	Bars []bench.Bar       `json:"bars"`
+	Rows []*bench.MeasuredRow `json:"rows"`
+	Bars []bench.Criterion    `json:"bars"`
 }
 
 func runBench(stdout io.Writer, c *urfave.Command) error {
@@ -54,7 +54,7 @@
 	if len(measured) == 0 {
 		return &ExitError{Code: ExitUsage, Err: errors.Newf("no row is called %q; see --list", c.String("row"))}
 	}
-	bars := bench.Bars(measured)
+	bars := bench.Criteria(measured)
 	if format == "json" {
 		if err := json.NewEncoder(stdout).Encode(benchReport{Rows: measured, Bars: bars}); err != nil {
 			return errors.Wrap(err, "write the report")
@@ -67,7 +67,7 @@
 
 // failedBars fails the command when a figure misses its bar: a script that runs it
 // would otherwise take the miss for a pass.
-func failedBars(bars []bench.Bar) error {
+func failedBars(bars []bench.Criterion) error {
 	failed := 0
 	for _, bar := range bars {
 		if !bar.Pass {
--- a/cli/load.go
+++ b/cli/load.go
@@ -41,7 +41,7 @@
 			&urfave.StringFlag{Name: flagZone, Usage: "availability zone of the callers, preferred among the addresses"},
 			&urfave.FloatFlag{Name: "deadline-scale", Usage: "times the deadlines of the classes, for stand-ins with a time scale", Value: 1},
 			&urfave.DurationFlag{Name: "grace", Usage: "a request without an end so long after its deadline is lost", Value: load.DefaultGrace},
-			&urfave.IntFlag{Name: "most-in-flight", Usage: "above it requests are not sent but counted as unsent", Value: load.DefaultMostInFlight},
+			&urfave.IntFlag{Name: "most-in-flight", Usage: "above it requests are not sent but counted as unsent", Value: load.DefaultMaxInFlight},
 			&urfave.IntFlag{Name: "engine-memory", Usage: "memory of one engine in tokens, for the table", Value: load.DefaultEngineMemory},
 			&urfave.IntFlag{Name: "resend-one-in", Usage: "make one in so many calls with a key twice at once; 0: none"},
 			&urfave.IntFlag{Name: "no-repeat-one-in", Usage: "mark one in so many prompts as not to be repeated; 0: none"},
@@ -71,7 +71,7 @@
 	if err := writeLoad(c.String("output"), report, stdout); err != nil {
 		return &ExitError{Code: ExitFailed, Err: err}
 	}
-	if report.Bad() {
+	if report.HasViolations() {
 		return &ExitError{Code: ExitFailed, Err: errPromiseBroken}
 	}
 	return nil
@@ -115,7 +115,7 @@
 		Seed:             c.Uint64("seed"),
 		DeadlineScale:    c.Float("deadline-scale"),
 		Grace:            c.Duration("grace"),
-		MostInFlight:     c.Int("most-in-flight"),
+		MaxInFlight:      c.Int("most-in-flight"),
 		EngineMemory:     c.Int("engine-memory"),
 		ResendOneIn:      c.Int("resend-one-in"),
 		NoRepeatOneIn:    c.Int("no-repeat-one-in"),
