--- a/bench/instance.go
+++ b/bench/instance.go
@@ -47,7 +47,7 @@
 
 func (i *instance) receive(a upstream.Announcement, age time.Duration) {
 	if !i.down {
-		i.registry.ApplyRelayed(i.world.time(), upstream.Relayed{Announcement: a, Age: age})
+		i.registry.ApplyRelayed(i.simulation.time(), upstream.Relayed{Announcement: a, Age: age})
 		i.dirty = true
 	}
 }
