--- a/forward/aggregate.go
+++ b/forward/aggregate.go
@@ -70,22 +70,22 @@
 // isAggregator reports whether this instance is the aggregator of its zone.
 func (s *Server) isAggregator(now time.Time) bool {
 	process, instances := s.options.Process, s.options.Plane.View().Instances
-	heard := s.fleet.peersSince(now.Add(-peerRetention))
+	recent := s.fleet.peersSince(now.Add(-peerRetention))
 	return now.Sub(s.fleet.startedAt) >= aggregationDelay &&
-		aggregatorOf(instances, process.Name, process.AvailabilityZone, heard) == process.Name
+		aggregatorOf(instances, process.Name, process.AvailabilityZone, recent) == process.Name
 }
 
-// aggregatorOf returns the name of the instance that aggregates a zone: the first, in an order
-// known to all, of the instances that were heard recently, including self. When the aggregator
-// dies, the next instance notices the missing reports before control does.
-func aggregatorOf(instances []membership.Instance, self, zone string, heard map[netip.AddrPort]bool) string {
+// aggregatorOf returns the name of the instance that aggregates a zone: the one with the highest
+// hash of its name among self and the instances whose addresses are in recent, so that all
+// instances of the zone choose the same one. When the aggregator dies, the next instance notices the missing reports before control does.
+func aggregatorOf(instances []membership.Instance, self, zone string, recent map[netip.AddrPort]bool) string {
 	var live []string
 	for i := range instances {
 		instance := &instances[i]
 		if instance.Address == "" || instance.AvailabilityZone != zone || instance.State == membership.Gone {
 			continue
 		}
-		if address, err := netip.ParseAddrPort(instance.ControlAddress); instance.Name == self || err == nil && heard[address] {
+		if address, err := netip.ParseAddrPort(instance.ControlAddress); instance.Name == self || err == nil && recent[address] {
 			live = append(live, instance.Name)
 		}
 	}
@@ -97,20 +97,20 @@
 	})
 }
 
-// peersSince returns the instances of the own zone that were heard since the given time, and
-// removes the others.
+// peersSince returns the addresses of the instances of the own zone whose last report arrived since
+// the given time, and removes the others.
 func (f *fleet) peersSince(since time.Time) map[netip.AddrPort]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	heard := make(map[netip.AddrPort]bool, len(f.peers))
+	recent := make(map[netip.AddrPort]bool, len(f.peers))
 	for address, at := range f.peers {
 		if at.Before(since) {
 			delete(f.peers, address)
 			continue
 		}
-		heard[address] = true
+		recent[address] = true
 	}
-	return heard
+	return recent
 }
 
 // addressOf returns the address of a sender, or the zero value if it is not a UDP address.
--- a/forward/aggregate_test.go
+++ b/forward/aggregate_test.go
@@ -14,20 +14,20 @@
 	// replaced, the other zones place long prompts on engines that are full; if two instances
 	// report, their reports overwrite each other.
 	var instances []membership.Instance
-	heard := map[netip.AddrPort]bool{}
+	recent := map[netip.AddrPort]bool{}
 	address := func(n int) netip.AddrPort { return netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:7340", n+1)) }
 	for n := range 8 {
 		instances = append(instances, membership.Instance{
 			Name: fmt.Sprint("front-", n), Address: "a", AvailabilityZone: fmt.Sprint("z", n%2), ControlAddress: address(n).String(),
 		})
-		heard[address(n)] = true
+		recent[address(n)] = true
 	}
 	instances = append(instances, membership.Instance{Name: "core", AvailabilityZone: "z0", ControlAddress: "10.0.0.99:7340"})
 	aggregators := func() map[string]int {
 		found := map[string]int{}
 		for n := range 8 {
-			if one := instances[n]; heard[address(n)] {
-				found[aggregatorOf(instances, one.Name, one.AvailabilityZone, heard)]++
+			if one := instances[n]; recent[address(n)] {
+				found[aggregatorOf(instances, one.Name, one.AvailabilityZone, recent)]++
 			}
 		}
 		return found
@@ -38,7 +38,7 @@
 	}
 	for n := range 8 {
 		if first[instances[n].Name] > 0 {
-			delete(heard, address(n)) // it died and control has not noticed yet
+			delete(recent, address(n)) // it died and control has not noticed yet
 		}
 	}
 	second := aggregators()
--- a/forward/arbitration.go
+++ b/forward/arbitration.go
@@ -26,8 +26,8 @@
 	// askResendInterval is how often an unanswered ask is repeated; one datagram takes a few
 	// milliseconds.
 	askResendInterval = 40 * time.Millisecond
-	// maxSilentResends is the number of unanswered repeats after which the arbiter counts as
-	// unresponsive.
+	// maxSilentResends is the number of consecutive unanswered sends of an ask after which the
+	// arbiter counts as unresponsive.
 	maxSilentResends = 3
 	// unresponsiveFor is how long an instance that did not answer is skipped. Control detects a
 	// dead instance within that time.
@@ -40,7 +40,8 @@
 	// answerBuffer is the number of unread answers that an own ask buffers.
 	answerBuffer = 4
 	// grantRetention is how long a grant is counted here until the load reports of the asking
-	// instance include it: three times the pause before a report plus the transmission time.
+	// instance include it: three times the sum of the pause before a report and the
+	// transmission time.
 	grantRetention = 50 * time.Millisecond
 	// grantRetentionPerInstance is added to grantRetention for each instance of the fleet: three
 	// times its part of the pause before a zone's aggregated report.
@@ -107,7 +108,7 @@
 	s.sendSealed(to, datagram.ArbiterAnswer, answer)
 }
 
-// decide places waiting asks as far as engines are free.
+// placeWaiting places waiting asks as far as engines are free.
 func (s *Server) placeWaiting() {
 	a := s.arbitration
 	a.mu.Lock()
@@ -127,7 +128,7 @@
 	}
 }
 
-// arbitrate runs decide repeatedly while asks wait, until ctx ends.
+// arbitrate calls placeWaiting at each tick while asks wait, until ctx ends.
 func (s *Server) arbitrate(ctx context.Context) {
 	ticker := time.NewTicker(arbitrationTick)
 	defer ticker.Stop()
--- a/forward/arbitration_ask.go
+++ b/forward/arbitration_ask.go
@@ -151,6 +151,6 @@
 	}
 	select {
 	case waiting <- *answer:
-	default: // the buffer is full of unread answers; the arbiter sends the answer again
+	default: // the buffer is full of unread answers; the repeated ask is answered again
 	}
 }
--- a/forward/arbitration_world.go
+++ b/forward/arbitration_world.go
@@ -76,9 +76,10 @@
 }
 
 // remainingLoad returns the load that a grant still adds to its node; the last result is false
-// when none is left. The reading part counts until its predicted end, because overlapping
-// readings combine by their maximum and because the reports of the asking instance's
-// availability zone may be missing for a second after the loss of the instance that relays them.
+// when none is left. The prefill time counts until its predicted end: the reports of the asking
+// instance's availability zone may be missing for a second after the loss of the instance that
+// relays them, and counting it twice does no harm, because prefill times are combined by their
+// maximum.
 func (g *grant) remainingLoad(now time.Time) (loadshare.Load, bool) {
 	passed := now.Sub(g.at)
 	left := g.load.After(passed)
--- a/forward/broken_send.go
+++ b/forward/broken_send.go
@@ -22,8 +22,8 @@
 }
 
 const (
-	// crashWindow is the time after it began to run a request within which an upstream ends if
-	// the request crashes it.
+	// crashWindow is the longest time that an upstream runs a request before it ends, if the
+	// request crashes it.
 	crashWindow = 300 * time.Millisecond
 	// lateCrashWindow is the time up to which the request may still be the cause.
 	lateCrashWindow = time.Second
--- a/forward/candidates.go
+++ b/forward/candidates.go
@@ -34,7 +34,7 @@
 }
 
 // candidates lists the nodes of a service that are eligible for work: unlimited are those
-// without a named rate, limited those whose rate leaves room for a request of this instance, and
+// without a named rate, withRoom those whose rate leaves room for a request of this instance, and
 // full counts the nodes whose rate is used up. The lock must be held.
 func (f *fleet) candidates(now time.Time, snapshot *upstream.Snapshot, service string) (unlimited, withRoom *candidates, full int) {
 	nodes, upstreams := f.eligibleNodes(snapshot, service)
--- a/forward/events.go
+++ b/forward/events.go
@@ -23,7 +23,7 @@
 		"One send of a call failed. Fields: call, upstream, address, verdict, error, kind (first, repeated, or granted: the arbiter chose the upstream), phase (unanswered, started or answering), request (fingerprint of host, path, caller and body), helper (the one that refused its part, if any), events, after_ms.")
 	eventSuspected = event.Define(7007, logrus.WarnLevel, "upstream suspected",
 		"An upstream accepted no connection or did not respond; it gets no new work for a while. Fields: upstream, address, error, for_ms.")
-	eventMisdirected = event.Define(7008, logrus.InfoLevel, "upstream replaced",
+	eventReplaced = event.Define(7008, logrus.InfoLevel, "upstream replaced",
 		"Another incarnation answers at the address; this one gets no more work. Fields: upstream, address.")
 	eventNotReserved = event.Define(7011, logrus.WarnLevel, "memory not reserved",
 		"A helper did not reserve memory for a prompt that no engine can hold alone; the call is sent to other engines or refused. Fields: reservation (instance, call, try), upstream, tokens, error.")
@@ -39,7 +39,7 @@
 		"An upstream names, or no longer names, how many requests per second it accepts from all instances together. Fields: upstream, address, rate (requests per second; absent: no longer named).")
 	eventRestAsked = event.Define(7016, logrus.InfoLevel, "upstream asks for rest",
 		"An upstream rejected a request and asked this instance to send no requests for a time. Fields: upstream, address, wanted_ms (requested), for_ms (applied).")
-	eventLeavingHeard = event.Define(7017, logrus.InfoLevel, "upstream is leaving",
+	eventLeavingStated = event.Define(7017, logrus.InfoLevel, "upstream is leaving",
 		"An answer of an upstream states that it is leaving; this instance sends it no new requests. Fields: upstream, address.")
 	eventUnparsableStatement = event.Define(7018, logrus.WarnLevel, "upstream statement not parsed",
 		"A header field with which an upstream describes its state has a value that can't be parsed; it is ignored. Logged at most once in 10 s for each upstream. Fields: upstream, address, fields.")
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -30,7 +30,7 @@
 	revision     uint64
 	deadline     time.Time
 	age          time.Duration   // time since the first try of the call, if the arbiter knows that it was refused before
-	plans        int             // plans made so far; each names its own reservations
+	plans        int             // plans made so far; part of the names of asks and reservations
 	lastAsk      string          // ID of the ask that led to the last placement
 	sends        int             // sends that may have reached an upstream
 	misdirected  int             // of these, sends that reached an address after the incarnation there had ended
@@ -157,8 +157,8 @@
 }
 
 // awaitEndCheck waits until it is known whether the upstream ended, if the upstream had just
-// begun to run the call. If the call was sent again earlier, a request that crashes its
-// upstreams would always be one upstream ahead of the evidence against it.
+// begun to run the call. Otherwise a request that crashes its upstreams would reach the next one
+// each time before the evidence from the previous one is recorded.
 func (x *exchange) awaitEndCheck(ctx context.Context, o *outcome) {
 	if o.checked == nil {
 		return
--- a/forward/fleet.go
+++ b/forward/fleet.go
@@ -11,7 +11,8 @@
 	"celeryport/upstream"
 )
 
-// fleet holds what this instance knows about the upstreams and the loads of all instances there.
+// fleet holds what this instance knows about the upstreams, and the loads that all instances
+// cause on them.
 type fleet struct {
 	options          *Options
 	mu               sync.Mutex
@@ -82,7 +83,8 @@
 
 // eligible reports whether a node may get work. Of several nodes at one address only the one
 // announced last is eligible: an engine that was started at the address of a dead one does not
-// answer its calls, and rejects a prompt that lists the address twice. The lock must be held.
+// answer calls addressed to the dead one, and rejects a prompt that lists the address twice. The
+// lock must be held.
 func (f *fleet) eligible(n *node, a *upstream.Announcement) bool {
 	return !n.replaced && !a.Leaving && n.leavingAt.IsZero() && f.byAddress[n.address] == n
 }
--- a/forward/fleet_health.go
+++ b/forward/fleet_health.go
@@ -96,5 +96,5 @@
 	f.mu.Lock()
 	f.retire(n)
 	f.mu.Unlock()
-	eventMisdirected.Log(f.options.Log, event.Fields{"upstream": n.name, "address": n.address})
+	eventReplaced.Log(f.options.Log, event.Fields{"upstream": n.name, "address": n.address})
 }
--- a/forward/health.go
+++ b/forward/health.go
@@ -51,8 +51,8 @@
 //
 // Announcements alone are not sufficient evidence: they stop while the control group is
 // partitioned, and engines would get no work for that time while long prompts are refused.
-// Failures seen by a single instance are not sufficient either: every other instance would have
-// to discover them again with calls that wait for a dead engine, so failures are shared.
+// The failures that this instance has seen itself are not sufficient either: each instance would
+// have to discover a dead engine with calls that wait for it, so instances share their failures.
 func (s health) avoid() bool {
 	switch {
 	case s.failed || s.busy || s.pace >= slowPace:
--- a/forward/node.go
+++ b/forward/node.go
@@ -59,7 +59,7 @@
 	pace       int       // as in loadshare.Load
 }
 
-// own returns the load caused by this instance on the node.
+// ownLoad returns the load caused by this instance on the node.
 func (n *node) ownLoad(now time.Time) loadshare.Load {
 	load := n.load
 	for _, end := range n.reading {
--- a/forward/polling.go
+++ b/forward/polling.go
@@ -86,12 +86,12 @@
 	return found
 }
 
-// lostSince reports whether a node failed to answer after its last announcement. A process that
+// failedSince reports whether a node failed to answer after its last announcement. A process that
 // answers at its address from then on may be another one, which will be known by its own
 // announcement.
 func (n *node) failedSince(announced time.Time) bool { return n.report.failedAt.After(announced) }
 
-// newestAt returns the upstreams of a service, for each address only the one heard last:
+// newestAt returns the upstreams of a service, for each address only the one announced last:
 // otherwise the successor would answer polls for a dead upstream, and calls would still be sent
 // to the dead one.
 func newestAt(snapshot *upstream.Snapshot, service string) []*upstream.Upstream {
--- a/forward/rates_sharing.go
+++ b/forward/rates_sharing.go
@@ -87,8 +87,8 @@
 	return limited
 }
 
-// sendRates sends facts in as many datagrams as needed. If asks is set, one is sent even without
-// facts.
+// sendRates sends facts in as many datagrams as needed. If asks is set, each datagram requests
+// the facts that are missing here, and one is sent even without facts.
 func (s *Server) sendRates(now time.Time, conn net.PacketConn, to []netip.AddrPort, kind datagram.Kind, facts []throttle.Fact, asks bool) {
 	for chunk := range slices.Chunk(facts, throttle.MaxFactsPerMessage) {
 		message := throttle.Message{WantsReply: asks, Facts: chunk}
--- a/forward/reservation.go
+++ b/forward/reservation.go
@@ -24,9 +24,9 @@
 	// leaseDuration is the lease of a reservation. An instance that is killed releases nothing,
 	// and its memory has to be free four seconds later.
 	leaseDuration = 3900 * time.Millisecond
-	// renewInterval leaves time for two tries before a lease ends. Most prompts are answered
-	// before the first renewal is due: an engine may carry out an order late, and a late renewal
-	// would reserve memory that no send uses.
+	// renewInterval leaves time for two tries before a lease ends. It is so long that most
+	// prompts are answered before the first renewal is due, because an engine may carry out a
+	// renewal after the send has ended and would then reserve memory that no send uses.
 	renewInterval = 2500 * time.Millisecond
 	// orderTimeout bounds one order; between zones it takes some milliseconds.
 	orderTimeout = 250 * time.Millisecond
--- a/forward/send.go
+++ b/forward/send.go
@@ -27,7 +27,7 @@
 	helper       *node // the engine at fault, if known
 }
 
-// heldAnswer is a failure answer of an upstream. It is forwarded to the caller if no other send
+// failureAnswer is a failure answer of an upstream. It is forwarded to the caller if no other send
 // succeeds.
 type failureAnswer struct {
 	status int
@@ -272,7 +272,7 @@
 	return o
 }
 
-// maxHeldBytes bounds an answer that is read completely before it is forwarded.
+// maxWholeAnswerBytes bounds an answer that is read completely before it is forwarded.
 const maxWholeAnswerBytes = 8 << 20
 
 func (s *sending) readAll(head *httpwire.ResponseHead) ([]byte, error) {
--- a/forward/send_timeouts.go
+++ b/forward/send_timeouts.go
@@ -25,15 +25,15 @@
 }
 
 const (
-	// hangFactor times the predicted time of the first event is how late an answer may begin
-	// before the upstream counts as hung. Predictions are accurate to within 0.1 s except for
-	// slow engines.
+	// hangFactor is how many times the predicted time of the first event an answer may take to
+	// begin before the upstream counts as hung. Predictions are accurate to within 0.1 s except
+	// for slow engines.
 	hangFactor = 3
-	// fullWaitFactor times the wait at an engine whose slots are all taken is the lower bound of
-	// that time: the answers in the slots may be longer than usual.
+	// fullWaitFactor times the wait at an engine whose slots are all taken is the shortest hang
+	// time-out of an engine: the answers in the slots may be longer than usual.
 	fullWaitFactor = 2
-	// serviceHangTimeout is that time at a plain service, where an answer begins after two or
-	// three others of some tens of milliseconds.
+	// serviceHangTimeout is the hang time-out of a plain service, where an answer begins after
+	// two or three others of some tens of milliseconds.
 	serviceHangTimeout = 300 * time.Millisecond
 )
 
--- a/forward/statements.go
+++ b/forward/statements.go
@@ -64,7 +64,7 @@
 	f.mu.Unlock()
 	if first {
 		f.notifyChanged()
-		eventLeavingHeard.Log(f.options.Log, event.Fields{"upstream": n.name, "address": n.address})
+		eventLeavingStated.Log(f.options.Log, event.Fields{"upstream": n.name, "address": n.address})
 	}
 }
 
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// event forwards one event, unless the caller has received it already.
+// forwardEvent forwards one event, unless the caller has received it already.
 func (s *sending) forwardEvent(head *httpwire.ResponseHead, e *httpwire.Event) error {
 	x := s.x
 	if e.HasID && x.hasEvent {
@@ -77,8 +77,8 @@
 	x.eventAt = now
 }
 
-// late reports whether the answer has already missed its objective or exceeded its longest
-// pause.
+// late reports whether the answer has already missed the route's objective or exceeded the
+// route's limit for pauses.
 func (x *exchange) late() bool {
 	if !x.firstAt.IsZero() && x.age+x.firstAt.Sub(x.began) > x.route.Objective {
 		return true
@@ -86,8 +86,8 @@
 	return x.route.LongPause > 0 && x.longestPause > x.route.LongPause
 }
 
-// longPause returns the longest pause that the rest of the answer may have to be in time, 0 if
-// it is late already.
+// longPause returns the limit for the pauses between the remaining events, 0 if the answer is
+// late already and pauses no longer matter.
 func (x *exchange) longPause() time.Duration {
 	if x.late() {
 		return 0
--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -55,7 +55,8 @@
 	return s.local.Quarantined(request)
 }
 
-// recordEnd records that an upstream ended while it had a request.
+// recordEnd records that an upstream ended while it had a request in flight. A request that an
+// upstream answered recently is not suspected.
 func (s *suspects) recordEnd(now time.Time, n *node, request quarantine.Fingerprint, outcome quarantine.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
