--- a/placement/lead.go
+++ b/placement/lead.go
@@ -53,8 +53,9 @@
 }
 
 // bestLead returns the engine that decodes the answer, or -1 if none has the memory and a slot.
-// Streams with long pauses share few engines too, as long as the parts prefilled there are short
-// enough for them; the other engines then prefill without delaying any stream.
+// Streams that tolerate long pauses are packed onto few engines too, as long as the parts
+// prefilled there are short enough for them; the other engines then prefill without delaying any
+// stream.
 func bestLead(p *settings.EngineProfile, engines []Engine, candidates []int, call *Call, part time.Duration) int {
 	best, bestRank := -1, 0
 	for _, i := range candidates {
--- a/placement/option.go
+++ b/placement/option.go
@@ -27,8 +27,9 @@
 	return option{plan: plan, harm: harm, cost: harm + value*(risk+latenessWeight*first)}
 }
 
-// streamHarm returns the cost of delaying the streams of an engine by a part. Streams that wait
-// for more already are late anyway. Streams with long pauses count as much as the call itself.
+// streamHarm returns the cost of delaying the streams of an engine by a part. Streams that the
+// queued prefill already delays too much are late anyway and do not count. Each other stream that
+// tolerates long pauses counts as much as the call itself.
 func streamHarm(p *settings.EngineProfile, load *loadshare.Load, part time.Duration, value float64) float64 {
 	harm := 0.0
 	if load.PrefillTime <= maxSpacedPart(p) && load.PrefillTime+part > maxSpacedPart(p) {
--- a/placement/packing.go
+++ b/placement/packing.go
@@ -64,8 +64,9 @@
 
 // packingLead returns the lead engine for a tight stream and its part of the prefill: the less
 // loaded of two random picks among the engines onto which tight streams are packed, extended by
-// the next engines if too few of these have room. If only one engine has room, some of the calls
-// deliberately skip it, because otherwise all calls of the same moment would go there.
+// the next engines if too few of these have room. If fewer than
+// minCandidates engines have room, some of the calls deliberately skip them, because otherwise all
+// calls of the same moment would go to the few that are left.
 func packingLead(p *settings.EngineProfile, engines []Engine, usable []int, call *Call, part time.Duration) (int, bool) {
 	width := packingWidth(p, engines, usable)
 	open := make([]int, 0, width)
--- a/placement/prompt.go
+++ b/placement/prompt.go
@@ -88,9 +88,9 @@
 }
 
 // planEarliest is the fallback if no engine suits: it picks one of the engines with the earliest
-// first events. All instances rank the engines alike, so always taking the very earliest would
-// give it more streams than it has slots when the mix of prompts changes, while other engines
-// have one.
+// first events. All instances rank the engines alike: if they always took the very first one, it
+// would get more streams than it has slots when the mix of prompts changes, while other engines
+// still have free slots.
 func planEarliest(p *settings.EngineProfile, engines []Engine, usable []int, call *Call, prefill time.Duration) (Plan, bool) {
 	plan := Plan{Part: prefill}
 	usable = slices.DeleteFunc(slices.Clone(usable), func(i int) bool { return engines[i].HelpOnly })
--- a/placement/selection.go
+++ b/placement/selection.go
@@ -64,7 +64,7 @@
 
 // partHelpers returns the engines that may prefill a short part beside their other work, those
 // with the fewest streams first. Engines with long prefill still queued are left out: they would
-// delay all the others, which count as helping until the first event of the prompt. Seven long
+// delay the other helpers of the prompt, which count as helping until its first event. Seven long
 // prompts once waited for a second while five engines had nothing to prefill.
 func partHelpers(p *settings.EngineProfile, engines []Engine, candidates []int, lead int) []int {
 	helpers := make([]int, 0, len(candidates))
--- a/placement/single_engine.go
+++ b/placement/single_engine.go
@@ -2,8 +2,8 @@
 
 import "celeryport/settings"
 
-// PromptOnEngine plans a short prompt on one engine, without helpers. It returns false if the engine has
-// no room or if another engine should get the prompt.
+// PromptOnEngine plans a short prompt on one engine, without helpers. It returns false if the
+// engine has no room or if another engine should get the prompt.
 func PromptOnEngine(p *settings.EngineProfile, e *Engine, call *Call) (Plan, bool) {
 	prefill := PrefillTime(p, call.Prompt)
 	if e.Avoid || e.Tried || e.HelpOnly || prefill > maxShortPrefill(p) || !hasRoom(p, e, call) {
--- a/placement/spread.go
+++ b/placement/spread.go
@@ -12,8 +12,8 @@
 // but each tight stream beside a part that is not short becomes late. So it uses the number of
 // engines with the least cost.
 //
-// Engines prefill the part that came last first. A second part on an engine delays the first
-// one, and with it a prompt whose other parts are prefilled elsewhere: under load, prompts then
+// An engine prefills its most recent part first. A second part on an engine therefore delays the
+// first one, and with it a prompt whose other parts are prefilled elsewhere: under load, prompts then
 // take many times as long as predicted, the oldest ones longest. So a prompt waits here until
 // enough engines are free to prefill parts short enough not to delay any stream.
 //
@@ -23,9 +23,9 @@
 // whose streams would stall meanwhile. So a prompt is prefilled at the cost of other streams
 // only when its time runs short.
 //
-// If only engines without tight streams were allowed, a few tight streams would exclude the
-// engines on which they meet a long prompt for many seconds, because they hardly progress, and
-// long prompts would find one engine where many could prefill them.
+// Engines with tight streams are not excluded altogether. A tight stream beside a long prompt
+// hardly progresses, so a few such streams would exclude their engines for many seconds, and long
+// prompts would find one engine where many could prefill them.
 func spread(p *settings.EngineProfile, engines []Engine, usable []int, call *Call, prefill time.Duration) (Plan, bool) {
 	candidates := prefillOrder(engines, usable)
 	limit := firstEventLimit(call)
