--- a/arbiter/queue.go
+++ b/arbiter/queue.go
@@ -64,7 +64,7 @@
 
 const (
 	// requestTTL is how long after its last transmission a request counts as abandoned.
-	// Requesters repeat it three times in that period.
+	// Requesters repeat it every 40 ms, so several repeats in a row may be lost.
 	requestTTL = 200 * time.Millisecond
 	// answerTTL is how long an answer is repeated to the same request.
 	answerTTL = time.Second
