--- a/loadshare/load.go
+++ b/loadshare/load.go
@@ -10,16 +10,16 @@
 	PrefillTime time.Duration // time until all prompts sent are prefilled
 	Held        int           // tokens of KV memory in use
 	Leading     int           // calls without an event yet whose prompt it prefills, alone or with helpers
-	Helping     int           // parts that it prefills for such calls of other upstreams
+	Helping     int           // parts that it prefills for such calls led by other upstreams
 	Suspicions  int           // instances that recently failed to reach it
 	Failing     int           // instances whose last call there recently failed although it was reachable
 	Pace        int           // duration relative to the usual one, in tenths, by its last report; 0: not polled
 }
 
-// Add returns the combined load of two instances. Each of them already includes the prompts of
-// the other when it predicts when an upstream will have prefilled its own, so the later end
-// applies. With the sum, upstreams that have long prefilled their parts would seem busy until
-// the last part of the same prompt is prefilled.
+// Add returns the combined load of two instances. Prefill times are combined by their maximum:
+// each instance already includes the prompts of the other when it predicts when an upstream will
+// have prefilled its own. With the sum, upstreams that finished their parts long ago would seem
+// busy until the last part of the same prompt is prefilled.
 func (l Load) Add(other Load) Load {
 	return Load{
 		Streams:     l.Streams + other.Streams,
--- a/loadshare/report.go
+++ b/loadshare/report.go
@@ -12,8 +12,8 @@
 // Key identifies an upstream in a report.
 type Key uint64
 
-// KeyOf returns the key of an upstream's name. Two names collide about once in 10^13 pairs, and
-// each of the two upstreams would then only show the load of both.
+// KeyOf returns the key of an upstream's name. Two names collide about once in 10^13 pairs; the
+// only effect would be that each of the two upstreams shows the load of both.
 func KeyOf(name string) Key { return Key(xxhash.Sum64String(name)) }
 
 // Report is the content of one datagram.
