--- a/admission/bucket.go
+++ b/admission/bucket.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// burst is how much unused capacity of a rate limit accumulates.
+// burst is the time over which the unused capacity of a rate limit accumulates.
 const burst = time.Second
 
 // bucket is a token bucket that may go into debt: one prompt may be larger than a second's worth
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -52,8 +52,8 @@
 // grantRetry is the time within which a new grant arrives while the control group is available.
 const grantRetry = time.Second
 
-// WithinLimits reports whether one more request of the given size is within the limits, and if not,
-// when to retry. Without a valid grant a limited organisation has no part of the limit: other
+// WithinLimits reports whether one more request of the given size is within the limits, and if
+// not, when to retry. Without a valid grant a limited organisation has no part of the limit: other
 // instances may hold all of it, so that admitting requests would lift the limit whenever the
 // control group is unavailable.
 func (a *Account) WithinLimits(now time.Time, tokens int) (bool, time.Duration) {
