--- a/forward/arbitration.go
+++ b/forward/arbitration.go
@@ -113,7 +113,7 @@
 	a := s.arbitration
 	a.mu.Lock()
 	now := time.Now()
-	answers := a.queue.Step(now, &arbiterWorld{server: s, now: now})
+	answers := a.queue.Step(now, &arbiterFleetSource{server: s, now: now})
 	to := make([]net.Addr, len(answers))
 	for i, answer := range answers {
 		to[i] = a.askers[answer.ID]
--- a/forward/arbitration_world.go
+++ b/forward/arbitration_fleet.go
@@ -9,14 +9,14 @@
 	"celeryport/settings"
 )
 
-// arbiterWorld gives the arbiter this instance's view of the fleet. It implements arbiter.FleetSource.
-type arbiterWorld struct {
+// arbiterFleetSource implements arbiter.FleetSource with this instance's view of the fleet.
+type arbiterFleetSource struct {
 	server *Server
 	now    time.Time
 }
 
 // Fleet implements arbiter.FleetSource.
-func (w *arbiterWorld) Fleet(service string) *arbiter.Fleet {
+func (w *arbiterFleetSource) Fleet(service string) *arbiter.Fleet {
 	view := w.server.options.Plane.View()
 	profile := engineProfile(view.Tree, service)
 	if profile == nil {
@@ -48,7 +48,7 @@
 }
 
 // Granted implements arbiter.FleetSource.
-func (w *arbiterWorld) Granted(ask *arbiter.Request, answer *arbiter.Answer) {
+func (w *arbiterFleetSource) Granted(ask *arbiter.Request, answer *arbiter.Answer) {
 	view := w.server.options.Plane.View()
 	profile := engineProfile(view.Tree, ask.Service)
 	if profile == nil {
--- a/forward/availability_test.go
+++ b/forward/availability_test.go
@@ -94,7 +94,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, n := newServerWithNode(t)
 		s.fleet.applyStatements(n, &Answer{Rest: 3 * time.Second})
-		if keys := (&arbiterWorld{server: s, now: time.Now()}).Fleet("model").Keys; !slices.Contains(keys, n.key) {
+		if keys := (&arbiterFleetSource{server: s, now: time.Now()}).Fleet("model").Keys; !slices.Contains(keys, n.key) {
 			t.Error("the engine is not available to other instances")
 		}
 		x := &exchange{server: s, call: &Call{}, route: &settings.Route{MaxSends: 2}, service: s.options.Plane.View().Tree.Forwarding.Service("model"), began: time.Now()}
@@ -109,7 +109,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, n := newServerWithNode(t)
 		s.fleet.applyStatements(n, &Answer{Leaving: true})
-		if keys := (&arbiterWorld{server: s, now: time.Now()}).Fleet("model").Keys; slices.Contains(keys, n.key) {
+		if keys := (&arbiterFleetSource{server: s, now: time.Now()}).Fleet("model").Keys; slices.Contains(keys, n.key) {
 			t.Error("the leaving engine is available")
 		}
 	})
--- a/forward/grant_test.go
+++ b/forward/grant_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	s.arbitration.mu.Lock()
 	s.arbitration.queue.Accept(time.Now(), ask)
-	answers := s.arbitration.queue.Step(time.Now(), &arbiterWorld{server: s, now: time.Now()})
+	answers := s.arbitration.queue.Step(time.Now(), &arbiterFleetSource{server: s, now: time.Now()})
 	s.arbitration.mu.Unlock()
 	if len(answers) != 1 || answers[0].Decision != arbiter.Placed {
 		t.Fatalf("answers %+v", answers)
--- a/forward/rates_test.go
+++ b/forward/rates_test.go
@@ -22,8 +22,8 @@
 	const rate, seconds = 1.2, 20
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, "front-1", "front-1")
-		world := &arbiterWorld{server: s, now: time.Now()}
-		limited := world.Fleet("model").Keys[3]
+		source := &arbiterFleetSource{server: s, now: time.Now()}
+		limited := source.Fleet("model").Keys[3]
 		named := rate
 		used := 0
 		for n := range seconds * 4 {
@@ -34,7 +34,7 @@
 			ask.ID = fmt.Sprint("front-1/call/", n)
 			s.arbitration.mu.Lock()
 			s.arbitration.queue.Accept(time.Now(), ask)
-			answers := s.arbitration.queue.Step(time.Now(), &arbiterWorld{server: s, now: time.Now()})
+			answers := s.arbitration.queue.Step(time.Now(), &arbiterFleetSource{server: s, now: time.Now()})
 			s.arbitration.mu.Unlock()
 			for _, answer := range answers {
 				if answer.Lead == limited || slices.Contains(answer.Helpers, limited) {
@@ -54,14 +54,14 @@
 func TestArbiterWithoutAvailableEnginesDoesNotDecide(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(t, "front-1", "front-1")
-		world := &arbiterWorld{server: s, now: time.Now()}
+		source := &arbiterFleetSource{server: s, now: time.Now()}
 		none := 0.0
-		for _, key := range world.Fleet("model").Keys {
+		for _, key := range source.Fleet("model").Keys {
 			s.fleet.mu.Lock()
 			s.fleet.rates.table.RecordAnswer(time.Now(), key, &none)
 			s.fleet.mu.Unlock()
 		}
-		if fleet := world.Fleet("model"); fleet != nil {
+		if fleet := source.Fleet("model"); fleet != nil {
 			t.Errorf("no engine accepts requests, but the arbiter uses %d", len(fleet.Keys))
 		}
 	})
--- a/forward/send.go
+++ b/forward/send.go
@@ -47,7 +47,7 @@
 	errEventOrder       = errors.New("the events of the answer do not follow each other")
 )
 
-// sending is the state of one send in flight.
+// sending is the progress of one send on its connection.
 type sending struct {
 	x      *exchange
 	node   *node
--- a/forward/work.go
+++ b/forward/work.go
@@ -7,7 +7,8 @@
 	"celeryport/loadshare"
 )
 
-// work is a send in flight.
+// work is the placement of one send: the nodes and the memory that it uses. It counts as load on
+// them from begin to end.
 type work struct {
 	lead    *node
 	helpers []*node       // engines that read a part of the prompt each
