--- a/forward/arbitration_world.go
+++ b/forward/arbitration_fleet.go
@@ -9,14 +9,14 @@
 	"celeryport/settings"
 )
 
-// arbiterWorld gives the arbiter this instance's view of the fleet. It implements arbiter.FleetSource.
-type arbiterWorld struct {
+// arbiterFleetSource implements arbiter.FleetSource with this instance's view of the fleet.
+type arbiterFleetSource struct {
 	server *Server
 	now    time.Time
 }
 
 // Fleet implements arbiter.FleetSource.
-func (w *arbiterWorld) Fleet(service string) *arbiter.Fleet {
+func (w *arbiterFleetSource) Fleet(service string) *arbiter.Fleet {
 	view := w.server.options.Plane.View()
 	profile := engineProfile(view.Tree, service)
 	if profile == nil {
@@ -48,7 +48,7 @@
 }
 
 // Granted implements arbiter.FleetSource.
-func (w *arbiterWorld) Granted(ask *arbiter.Request, answer *arbiter.Answer) {
+func (w *arbiterFleetSource) Granted(ask *arbiter.Request, answer *arbiter.Answer) {
 	view := w.server.options.Plane.View()
 	profile := engineProfile(view.Tree, ask.Service)
 	if profile == nil {
@@ -76,9 +76,10 @@
 }
 
 // remainingLoad returns the load that a grant still adds to its node; the last result is false
-// when none is left. The reading part counts until its predicted end, because overlapping
-// readings combine by their maximum and because the reports of the asking instance's
-// availability zone may be missing for a second after the loss of the instance that relays them.
+// when none is left. The prefill time counts until its predicted end: the reports of the asking
+// instance's availability zone may be missing for a second after the loss of the instance that
+// relays them, and counting it twice does no harm, because prefill times are combined by their
+// maximum.
 func (g *grant) remainingLoad(now time.Time) (loadshare.Load, bool) {
 	passed := now.Sub(g.at)
 	left := g.load.After(passed)
