--- a/dispatch/pump.go
+++ b/dispatch/pump.go
@@ -37,6 +37,9 @@
 	}
 }
 
+// sendOne sends the first of the heads that can be placed and reports whether
+// there was one. It stops at the first organisation that must leave its place to
+// another one.
 func (s *Scheduler) sendOne(now time.Time, pool *routing.Pool, lane *laneQueue, heads []*admission.Ticket) bool {
 	least, waits := s.leastWaitingShare(now, lane, pool)
 	for i, t := range heads {
@@ -162,7 +165,7 @@
 }
 
 // enginePriority returns the priority on the engine: length first, then class.
-// A long prompt yields to any short one at the next iteration, whatever their
+// An aged long prompt ranks like a short one. Any other long prompt yields to any short one at the next iteration, whatever their
 // classes: this costs it milliseconds, while waiting would cost the short one
 // seconds.
 func enginePriority(now time.Time, r *request.Request) int {
--- a/dispatch/span_wait.go
+++ b/dispatch/span_wait.go
@@ -12,8 +12,8 @@
 // the long lane, and most spans find memory without it.
 const spanClearingDelay = 15 * time.Second
 
-// countOverdueSpans updates, per account, the prompt tokens that have waited
-// for memory for longer than spanClearingDelay.
+// countOverdueSpans updates, per account, the prompt tokens of spans and large
+// prompts that have waited for memory for longer than spanClearingDelay.
 func (s *Scheduler) countOverdueSpans(now time.Time) {
 	for _, a := range s.ordered {
 		a.OverdueSpans = 0
