--- a/routing/lane.go
+++ b/routing/lane.go
@@ -60,7 +60,9 @@
 const backlogPerNode = 8.0
 
 // SizeLane sizes the lane from the measured loads, as fractions of the pool's
-// capacity, and from the long tokens that wait on all instances.
+// capacity, and from the prompt tokens of long requests that wait on all
+// instances. spans is the part of these tokens that has waited for memory for so
+// long that nodes are cleared for it.
 func (p *Pool) SizeLane(load quota.Mix, waiting, spans int) {
 	p.lane.load = load
 	p.lane.backlog = float64(waiting) / p.NodeRate()
--- a/routing/node.go
+++ b/routing/node.go
@@ -21,10 +21,10 @@
 	Slots        int
 	Health       Health
 
-	state    upstream.State
-	report   report
-	prefixes *upstream.Prefixes
-	heardAt  time.Time
+	state       upstream.State
+	report      report
+	prefixes    *upstream.Prefixes
+	announcedAt time.Time
 	// freshUntil is when the node turns silent if no newer snapshot arrives;
 	// zero means never.
 	freshUntil time.Time
@@ -161,7 +161,7 @@
 	n.state = u.State
 	n.prefixes = u.Prefixes
 	n.targets = a.Targets
-	n.heardAt = u.AnnouncedAt
+	n.announcedAt = u.AnnouncedAt
 	n.freshUntil = u.FreshUntil
 	if !u.LoadAt.After(n.report.at) {
 		return
--- a/routing/report.go
+++ b/routing/report.go
@@ -21,7 +21,7 @@
 type report struct {
 	at         time.Time
 	short      float64 // queued prefill except for long prompts in progress
-	long       float64
+	long       float64 // queued prefill of long prompts in progress
 	held       int
 	running    int
 	rate       float64
@@ -59,8 +59,9 @@
 }
 
 // queuedPrefill estimates the prefill queued on the node: the corrected report
-// plus the own sends that are newer than the report. Own sends that still wait
-// for their first token count whatever the report says.
+// plus the own sends that are newer than the report. This instance's long prompts
+// that the report includes and that still wait for their first token count at
+// least half, even if the corrected report shows no prefill any more.
 func (n *Node) queuedPrefill(now time.Time) (short, long float64) {
 	short, long = n.report.remaining(now)
 	short += float64(n.unreported.short)
