--- a/throttle/message.go
+++ b/throttle/message.go
@@ -19,7 +19,7 @@
 	flagNamed = 1
 )
 
-var errMalformed = errors.New("not a message of rates")
+var errMalformed = errors.New("malformed rate message")
 
 // Message is the content of one datagram.
 type Message struct {
--- a/throttle/share.go
+++ b/throttle/share.go
@@ -18,7 +18,8 @@
 // Share returns the part of an upstream's rate that one instance may use, in
 // requests per second. rank is its position, from 0, in an order of the
 // instances that all of them agree on and that differs between upstreams; own
-// is the number of requests per second that this instance receives.
+// is the number of requests per second that this instance receives. Share
+// returns 0 if the instance is not one of the sharers.
 //
 // Few instances share a small rate: if it were divided among all of them, none
 // would get a request through for many seconds. The number of sharers is a
--- a/throttle/table.go
+++ b/throttle/table.go
@@ -57,7 +57,8 @@
 	t.evictExcess(now)
 }
 
-// Missing returns the facts that the sender of theirs lacks.
+// Missing returns the facts that the sender of theirs lacks or holds with an
+// older, different rate.
 func (t *Table) Missing(now time.Time, theirs []Fact) []Fact {
 	t.expire(now)
 	known := make(map[loadshare.Key]*Fact, len(theirs))
