--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -46,27 +46,27 @@
 
 // AddEvidence adds evidence. position increases with each call that may change
 // the registry.
-func (b *Registry) AddEvidence(now time.Time, position uint64, limits *Limits, evidence []Evidence) {
+func (reg *Registry) AddEvidence(now time.Time, position uint64, limits *Limits, evidence []Evidence) {
 	for i := range evidence {
-		b.apply(now, &evidence[i])
+		reg.apply(now, &evidence[i])
 	}
-	b.evictExcess(limits)
-	b.decide(position, limits)
+	reg.evictExcess(limits)
+	reg.decide(position, limits)
 }
 
-func (b *Registry) apply(now time.Time, e *Evidence) {
+func (reg *Registry) apply(now time.Time, e *Evidence) {
 	record := Record{Request: e.Request}
-	if at := b.find(e.Request); at >= 0 {
-		record = b.Records[at]
-		b.Records = slices.Delete(b.Records, at, at+1)
+	if at := reg.find(e.Request); at >= 0 {
+		record = reg.Records[at]
+		reg.Records = slices.Delete(reg.Records, at, at+1)
 	}
 	if e.Outcome == Answered {
-		b.removed = b.removed || record.Quarantined
+		reg.removed = reg.removed || record.Quarantined
 		return
 	}
 	record.add(e)
 	record.At = now
-	b.Records = append(b.Records, record)
+	reg.Records = append(reg.Records, record)
 }
 
 // maxUpstreams bounds the incarnations listed in a record.
@@ -91,19 +91,20 @@
 
 // decide determines which requests are quarantined, in order of decreasing
 // evidence. A crash explained by a quarantined request is weak evidence against
-// the other requests on that upstream: when crashes are frequent, innocent
-// requests that run beside the causes are hit several times.
-func (b *Registry) decide(position uint64, limits *Limits) {
-	order := make([]*Record, len(b.Records))
-	for i := range b.Records {
-		order[i] = &b.Records[i]
+// the other requests on that upstream, and counts only towards their Any limit:
+// when crashes are frequent, innocent requests that run beside the causes are hit
+// several times.
+func (reg *Registry) decide(position uint64, limits *Limits) {
+	order := make([]*Record, len(reg.Records))
+	for i := range reg.Records {
+		order[i] = &reg.Records[i]
 	}
 	slices.SortStableFunc(order, func(a, b *Record) int {
 		return cmp.Or(cmp.Compare(len(b.Started), len(a.Started)), cmp.Compare(b.upstreamCount(), a.upstreamCount()))
 	})
 	explained := map[uint64]bool{}
-	changed := b.removed
-	b.removed = false
+	changed := reg.removed
+	reg.removed = false
 	for _, r := range order {
 		unexplained := 0
 		for _, upstream := range r.Started {
@@ -121,57 +122,57 @@
 		}
 	}
 	if changed {
-		b.Version = position
+		reg.Version = position
 	}
 }
 
 // Expire removes the records of requests without recent evidence.
-func (b *Registry) Expire(now time.Time, position uint64, limits *Limits) {
-	before := len(b.Records)
-	b.Records = slices.DeleteFunc(b.Records, func(r Record) bool {
+func (reg *Registry) Expire(now time.Time, position uint64, limits *Limits) {
+	before := len(reg.Records)
+	reg.Records = slices.DeleteFunc(reg.Records, func(r Record) bool {
 		lifetime := limits.Suspected
 		if r.Quarantined {
 			lifetime = limits.Retention
 		}
 		expired := now.Sub(r.At) >= lifetime
-		b.removed = b.removed || expired && r.Quarantined
+		reg.removed = reg.removed || expired && r.Quarantined
 		return expired
 	})
-	if len(b.Records) < before {
-		b.decide(position, limits)
+	if len(reg.Records) < before {
+		reg.decide(position, limits)
 	}
 }
 
 // evictExcess evicts the oldest records above the limit, those of merely
 // suspected requests first.
-func (b *Registry) evictExcess(limits *Limits) {
-	for len(b.Records) > limits.Records {
-		at := max(0, slices.IndexFunc(b.Records, func(r Record) bool { return !r.Quarantined }))
-		b.removed = b.removed || b.Records[at].Quarantined
-		b.Records = slices.Delete(b.Records, at, at+1)
+func (reg *Registry) evictExcess(limits *Limits) {
+	for len(reg.Records) > limits.Records {
+		at := max(0, slices.IndexFunc(reg.Records, func(r Record) bool { return !r.Quarantined }))
+		reg.removed = reg.removed || reg.Records[at].Quarantined
+		reg.Records = slices.Delete(reg.Records, at, at+1)
 	}
 }
 
 // Quarantined reports whether a request is quarantined.
-func (b *Registry) Quarantined(request Fingerprint) bool {
-	at := b.find(request)
-	return at >= 0 && b.Records[at].Quarantined
+func (reg *Registry) Quarantined(request Fingerprint) bool {
+	at := reg.find(request)
+	return at >= 0 && reg.Records[at].Quarantined
 }
 
 // Known reports whether there is evidence against a request.
-func (b *Registry) Known(request Fingerprint) bool { return b.find(request) >= 0 }
+func (reg *Registry) Known(request Fingerprint) bool { return reg.find(request) >= 0 }
 
 // List returns the quarantined requests.
-func (b *Registry) List() *List {
+func (reg *Registry) List() *List {
 	var requests []Fingerprint
-	for i := range b.Records {
-		if b.Records[i].Quarantined {
-			requests = append(requests, b.Records[i].Request)
+	for i := range reg.Records {
+		if reg.Records[i].Quarantined {
+			requests = append(requests, reg.Records[i].Request)
 		}
 	}
-	return NewList(b.Version, requests)
+	return NewList(reg.Version, requests)
 }
 
-func (b *Registry) find(request Fingerprint) int {
-	return slices.IndexFunc(b.Records, func(r Record) bool { return r.Request == request })
+func (reg *Registry) find(request Fingerprint) int {
+	return slices.IndexFunc(reg.Records, func(r Record) bool { return r.Request == request })
 }
