--- a/entry/announce.go
+++ b/entry/announce.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxAnnouncementBytes = 256 << 10 // bytes
-	maxAnnounceAddresses = 3         // listed in the answer to an announcement
+	maxAnnouncementBytes = 256 << 10
+	maxAnnounceAddresses = 3 // listed in the answer to an announcement
 	maxNameBytes         = 128
 	maxAnnouncedItems    = 256 // targets or adapters
 )
@@ -45,7 +45,7 @@
 func parseAnnouncement(raw []byte) (*upstream.Announcement, *verdict.Error) {
 	var a upstream.Announcement
 	if err := json.Unmarshal(raw, &a); err != nil {
-		return nil, verdict.Wrap(err, verdict.NotRun, verdict.ReasonBadRequest, "the body is no announcement")
+		return nil, verdict.Wrap(err, verdict.NotRun, verdict.ReasonBadRequest, "the body is not an announcement")
 	}
 	switch {
 	case a.Name == "" || len(a.Name) > maxNameBytes:
--- a/entry/canceller.go
+++ b/entry/canceller.go
@@ -13,7 +13,7 @@
 const (
 	cancelInterval = 250 * time.Millisecond // between two attempts
 	cancelWorkers  = 16                     // concurrent calls
-	cancelMaxAge   = 10 * time.Minute       // an engine that does not answer for longer has lost its memory or needs an operator
+	cancelMaxAge   = 10 * time.Minute       // an engine that has not confirmed for longer has restarted or needs an operator
 )
 
 // canceller repeats each cancel until the engine has confirmed it. If a cancel were
