--- a/entry/linger.go
+++ b/entry/linger.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	lingerBytes = 64 << 20 // of an unread body that are discarded at most
+	lingerBytes = 64 << 20 // maximum size of the discarded rest of a body
 	lingerTime  = 5 * time.Second
 )
 
