--- a/wal/log.go
+++ b/wal/log.go
@@ -56,8 +56,9 @@
 		return false, err
 	}
 	if len(l.state.Entries) < replayed {
-		// After a crash between the write of the snapshot and the truncation of the
-		// log, new entries would not follow those that the log file still contains.
+		// The process crashed between the write of the snapshot and the truncation
+		// of the log. Without the rewrite, new entries would not follow those that
+		// the log file still contains.
 		if err := l.records.Rewrite(l.encodeState()); err != nil {
 			return false, err
 		}
