--- a/upstream/cache_view.go
+++ b/upstream/cache_view.go
@@ -15,8 +15,8 @@
 
 // apply applies the events whose sequence is higher than that of every event
 // applied before, and ignores the others. A gap in the sequence means that events
-// were lost. The entries are kept in that case: a wrong entry only makes the
-// choice of an upstream less suitable, and is evicted once it is the oldest.
+// were lost. The entries are kept in that case: a wrong entry only leads to a less
+// suitable upstream being preferred, and is evicted once it is the oldest.
 func (c *cacheView) apply(events []CacheEvent) {
 	var tokens map[uint64]int
 	for _, e := range events {
