--- a/entry/announce.go
+++ b/entry/announce.go
@@ -45,7 +45,7 @@
 func parseAnnouncement(raw []byte) (*upstream.Announcement, *verdict.Error) {
 	var a upstream.Announcement
 	if err := json.Unmarshal(raw, &a); err != nil {
-		return nil, verdict.Wrap(err, verdict.NotRun, verdict.ReasonBadRequest, "the body is not an announcement")
+		return nil, verdict.Wrap(err, verdict.NotRun, verdict.ReasonBadRequest, "the body is no announcement")
 	}
 	switch {
 	case a.Name == "" || len(a.Name) > maxNameBytes:
--- a/entry/completions.go
+++ b/entry/completions.go
@@ -43,7 +43,7 @@
 func (in *incomingRequest) parseCompletion(raw []byte) (*completionBody, *verdict.Error) {
 	body := &completionBody{MaxTokens: defaultOutputTokens}
 	if err := json.Unmarshal(raw, body); err != nil {
-		return nil, verdict.Wrap(err, verdict.NotRun, verdict.ReasonBadRequest, "the body is not a JSON completion request")
+		return nil, verdict.Wrap(err, verdict.NotRun, verdict.ReasonBadRequest, "the body is no JSON object of a completion")
 	}
 	if body.Prompt == "" || body.MaxTokens < 1 || body.MaxTokens > maxOutputTokens {
 		return nil, verdict.Refuse(verdict.ReasonBadRequest, 0, "a prompt and 1 to %d max_tokens are needed", maxOutputTokens)
--- a/entry/shutdown.go
+++ b/entry/shutdown.go
@@ -19,7 +19,7 @@
 )
 
 // ErrCutOff is returned by Shutdown if its deadline passed with requests in flight.
-var ErrCutOff = errors.New("requests were cut off at the shutdown deadline")
+var ErrCutOff = errors.New("requests were cut off by the bound of the shutdown")
 
 // Shutdown stops the server without cutting off requests. Callers keep their list of
 // addresses for keep_seconds, so the instance first removes itself from the lists and
--- a/wal/errors.go
+++ b/wal/errors.go
@@ -41,7 +41,7 @@
 
 // Error implements error.
 func (e *FailedError) Error() string {
-	return fmt.Sprintf("a write to folder %s failed, no more writes are accepted: %v", e.Folder, e.cause)
+	return fmt.Sprintf("folder %s failed and takes no more writes: %v", e.Folder, e.cause)
 }
 
 // Unwrap returns the cause.
