--- a/settings/authenticate.go
+++ b/settings/authenticate.go
@@ -6,7 +6,7 @@
 	"encoding/hex"
 )
 
-// caller is one key of an organisation, as its hash.
+// caller maps the hash of one API key to its organisation.
 type caller struct {
 	digest       [sha256.Size]byte
 	organisation string
@@ -18,7 +18,7 @@
 		for _, hash := range o.KeySHA256 {
 			c := caller{organisation: o.Name}
 			if _, err := hex.Decode(c.digest[:], []byte(hash)); err != nil {
-				continue // digestPattern let only hex through
+				continue // unreachable: digestPattern accepts only hex digits
 			}
 			callers = append(callers, c)
 		}
@@ -26,9 +26,8 @@
 	return callers
 }
 
-// Authenticate returns the organisation whose key a caller presents. Its time
-// does not depend on the key or on which entry matches, so that it can't be
-// used to guess keys bit by bit.
+// Authenticate returns the organisation that owns key. It takes the same time
+// whichever entry matches, so that timing reveals nothing about the keys.
 func (t *Tree) Authenticate(key string) (organisation string, ok bool) {
 	digest := sha256.Sum256([]byte(key))
 	found := -1
@@ -42,14 +41,13 @@
 	return t.callers[found].organisation, true
 }
 
-// HashKey returns the form in which a key stands in a settings tree.
+// HashKey returns the hex SHA-256 of a key, as it is stored in a settings tree.
 func HashKey(key string) string {
 	digest := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(digest[:])
 }
 
-// MatchKey reports whether key is one of the accepted ones, in a time that does
-// not depend on how much of it is right.
+// MatchKey reports whether key is one of the accepted keys, in constant time.
 func MatchKey(key string, accepted []string) bool {
 	digest := sha256.Sum256([]byte(key))
 	match := 0
--- a/settings/branches.go
+++ b/settings/branches.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// branch is one decoded section with its dotted name below the root.
+// branch is one decoded section. Its name is the dotted path below the root.
 type branch[T any] struct {
 	name  string
 	value T
 }
 
-// decodeBranches decodes all sections of one kind. Each inherits from its
-// parent by dots; [kind] itself, which may be left out, is the root.
+// decodeBranches decodes all sections of one kind. Each section inherits from
+// its parent in the dotted path; the optional section [kind] is the root.
 func decodeBranches[T any](s *schema[T], all []section, faults *collector) []branch[T] {
-	mine := ofKind(all, s.kind)
-	sort.SliceStable(mine, func(i, j int) bool { return depth(mine[i].name) < depth(mine[j].name) })
+	matching := sectionsOfKind(all, s.kind)
+	sort.SliceStable(matching, func(i, j int) bool { return depth(matching[i].name) < depth(matching[j].name) })
 	decoded := map[string]T{s.kind: s.defaults()}
 	var branches []branch[T]
-	for _, sec := range mine {
+	for _, sec := range matching {
 		parent, found := decoded[parentOf(sec.name)]
 		if sec.name == s.kind {
 			parent, found = decoded[s.kind], true
@@ -34,14 +34,14 @@
 			branches = append(branches, branch[T]{name: sec.branch(), value: target})
 		}
 	}
-	return inFileOrder(branches, all, s.kind)
+	return sortInFileOrder(branches, all, s.kind)
 }
 
-// decodeFlat decodes sections [kind.NAME] that inherit nothing; NAME may hold
-// dots, as names of models often do.
+// decodeFlat decodes sections [kind.NAME] without inheritance. NAME may contain
+// dots, as model names often do.
 func decodeFlat[T any](s *schema[T], all []section, faults *collector) []branch[T] {
 	var branches []branch[T]
-	for _, sec := range ofKind(all, s.kind) {
+	for _, sec := range sectionsOfKind(all, s.kind) {
 		if sec.branch() == "" {
 			faults.add(sec.name, "", "section has no name", "["+s.kind+".NAME]")
 			continue
@@ -53,11 +53,11 @@
 	return branches
 }
 
-// decodeOne decodes the one section of a kind that has no branches.
-func decodeOne[T any](s *schema[T], all []section, faults *collector) T {
+// decodeSingle decodes a kind that has a single section and no branches.
+func decodeSingle[T any](s *schema[T], all []section, faults *collector) T {
 	target := s.defaults()
-	mine := ofKind(all, s.kind)
-	for _, sec := range mine {
+	matching := sectionsOfKind(all, s.kind)
+	for _, sec := range matching {
 		if sec.branch() != "" {
 			faults.add(sec.name, "", "unknown section", "["+s.kind+"]")
 			continue
@@ -67,17 +67,17 @@
 	return target
 }
 
-func ofKind(all []section, kind string) []section {
-	var mine []section
+func sectionsOfKind(all []section, kind string) []section {
+	var matching []section
 	for _, sec := range all {
 		if sec.kind() == kind {
-			mine = append(mine, sec)
+			matching = append(matching, sec)
 		}
 	}
-	return mine
+	return matching
 }
 
-func inFileOrder[T any](branches []branch[T], all []section, kind string) []branch[T] {
+func sortInFileOrder[T any](branches []branch[T], all []section, kind string) []branch[T] {
 	position := map[string]int{}
 	for i, sec := range all {
 		position[sec.name] = i
@@ -97,8 +97,8 @@
 	return name[:last]
 }
 
-// covers reports whether a selector matches a branch: the branch that it names
-// and all below it. An empty selector matches everything.
+// covers reports whether a selector matches a branch. A selector matches the
+// named branch and its descendants; an empty selector matches every branch.
 func covers(selector, name string) bool {
 	return selector == "" || name == selector || strings.HasPrefix(name, selector+separator)
 }
--- a/settings/broken_test.go
+++ b/settings/broken_test.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// brokenFiles names, for each file under testdata/broken, the faults that have
-// to be found: section, key, and a part of the problem.
+// brokenFiles lists the expected faults of each file under testdata/broken:
+// section, key and a part of the problem text.
 var brokenFiles = map[string][][3]string{
 	"unknown-key":           {{"organisation.atelier", "wieght", "unknown key"}},
 	"unknown-section":       {{"organization.atelier", "", "unknown section"}},
@@ -43,9 +43,9 @@
 	"process-unknown-key":          {{"process", "availability_zoen", "unknown key"}},
 }
 
-// An operator who mistypes a file wants every fault at once, each with its place
-// and what is allowed there, and nothing of the file in force.
-func TestEveryBrokenFileNamesItsFaults(t *testing.T) {
+// Guards against a check that stops at the first fault, or omits the position or
+// the allowed values, and against faults that repeat a secret.
+func TestBrokenFilesReportAllFaults(t *testing.T) {
 	files, err := filepath.Glob("testdata/broken/*.ini")
 	if err != nil || len(files) != len(brokenFiles) {
 		t.Fatalf("%d files, %d expected, %v", len(files), len(brokenFiles), err)
@@ -66,7 +66,7 @@
 	}
 	kind, err := Check(file, text)
 	if isProcess := strings.Contains(file, "process-"); isProcess != (kind == KindProcess) {
-		t.Errorf("taken for a %s file", kind)
+		t.Errorf("detected as a %s file", kind)
 	}
 	var faults Faults
 	if !errors.As(err, &faults) {
@@ -74,7 +74,7 @@
 	}
 	for _, secret := range []string{"geheim", "this-is-a-plain-secret-key"} {
 		if strings.Contains(faults.Error(), secret) {
-			t.Errorf("a key is repeated in %v", faults)
+			t.Errorf("fault contains a secret: %v", faults)
 		}
 	}
 	return faults
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../examples/*/*.ini")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no examples: %v", err)
@@ -125,7 +125,7 @@
 		for _, line := range lines {
 			organisation, key, _ := strings.Cut(line, "=")
 			if got, ok := tree.Authenticate(key); !ok || got != organisation {
-				t.Errorf("%s: the key of %s is that of %q", deployment, organisation, got)
+				t.Errorf("%s: the key of %s authenticates as %q", deployment, organisation, got)
 			}
 		}
 	}
--- a/settings/parse_any.go
+++ b/settings/check.go
@@ -1,16 +1,16 @@
 package settings
 
-// Kind tells the two kinds of settings files apart.
+// Kind is a kind of settings file.
 type Kind uint8
 
 const (
-	// KindTree is the operators' tree.
+	// KindTree is a fleet-wide settings tree.
 	KindTree Kind = iota
-	// KindProcess is the settings of one process.
+	// KindProcess is a file with the settings of one process.
 	KindProcess
 )
 
-// String names the kind as commands print it.
+// String returns the name of the kind that commands print.
 func (k Kind) String() string {
 	if k == KindProcess {
 		return "process"
@@ -18,8 +18,8 @@
 	return "tree"
 }
 
-// Check parses either kind of file and returns which one it is, with its
-// faults. A file that has any section of a process file counts as one.
+// Check detects the kind of a settings file and validates it. A file that has any
+// section of a process file is a process file.
 func Check(file string, text []byte) (Kind, error) {
 	if detectKind(text) == KindProcess {
 		_, err := ParseProcess(file, text)
--- a/settings/check_duty.go
+++ b/settings/check_duty.go
@@ -1,22 +1,22 @@
 package settings
 
-// neededKey is a key that must be given for some duties.
-type neededKey struct {
+// requiredKey is a key that is mandatory for some duties.
+type requiredKey struct {
 	section string
 	name    string
 	allowed string
 }
 
-// neededFor lists the keys that an instance of that duty can't do without.
-func neededFor(d Duty) []neededKey {
-	traffic := neededKey{listenSchema.kind, "address", addressAllowed}
+// requiredKeys returns the keys that are mandatory for an instance with duty d.
+func requiredKeys(d Duty) []requiredKey {
+	traffic := requiredKey{listenSchema.kind, "address", addressAllowed}
 	switch d {
 	case ServesForwarding:
-		return []neededKey{traffic}
+		return []requiredKey{traffic}
 	case ServesControl:
 		return nil
 	default:
-		return []neededKey{
+		return []requiredKey{
 			traffic,
 			{keysSchema.kind, "operators", secretAllowed},
 			{keysSchema.kind, "upstreams", secretAllowed},
@@ -25,22 +25,22 @@
 	}
 }
 
-// dutyPart checks that a section has the keys that the duty of the instance
-// needs. It comes after the section itself, so that faults keep the order of the
-// sections.
+// dutyPart checks that a section has the keys that the instance's duty requires.
+// It runs right after the part that decodes the section, so that faults are
+// reported in section order.
 func dutyPart(kind string, p *Process) processPart {
 	return processPart{kind: kind, decode: func(sections []section, faults *collector) {
-		for _, needed := range neededFor(p.Serves) {
-			if needed.section == kind && !given(sections, needed) {
-				faults.add(needed.section, needed.name, "key is missing", needed.allowed)
+		for _, required := range requiredKeys(p.Serves) {
+			if required.section == kind && !hasKey(sections, required) {
+				faults.add(required.section, required.name, "key is missing", required.allowed)
 			}
 		}
 	}}
 }
 
-func given(sections []section, needed neededKey) bool {
+func hasKey(sections []section, required requiredKey) bool {
 	for _, sec := range sections {
-		if sec.name == needed.section && sec.has(needed.name) {
+		if sec.name == required.section && sec.has(required.name) {
 			return true
 		}
 	}
--- a/settings/check_forwarding.go
+++ b/settings/check_forwarding.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// routeKind and serviceKind name the sections in faults of a document.
+// routeKind and serviceKind prefix the section names in faults of a forwarding document.
 const (
 	routeKind   = "route."
 	serviceKind = "service."
 )
 
-// checkForwarding refuses what no instance could act on.
+// checkForwarding reports routes and services that instances can't serve.
 func checkForwarding(f *Forwarding, faults *collector) {
 	services := map[string]bool{}
 	for i := range f.Services {
@@ -21,13 +21,13 @@
 		}
 		services[name] = true
 	}
-	places := map[string]string{}
+	locations := map[string]string{}
 	for i := range f.Routes {
-		checkRoute(&f.Routes[i], services, places, faults)
+		checkRoute(&f.Routes[i], services, locations, faults)
 	}
 }
 
-func checkRoute(r *Route, services map[string]bool, places map[string]string, faults *collector) {
+func checkRoute(r *Route, services map[string]bool, locations map[string]string, faults *collector) {
 	section := routeKind + r.Name
 	if r.Host == "" {
 		faults.add(section, "host", "the route has no host", "a host name")
@@ -38,11 +38,11 @@
 	if r.Timeout <= 0 {
 		faults.add(section, "timeout", "every call would end before it is sent", "a time above 0")
 	}
-	place := strings.ToLower(r.Host) + r.PathPrefix
-	if other, taken := places[place]; taken {
+	location := strings.ToLower(r.Host) + r.PathPrefix
+	if other, taken := locations[location]; taken {
 		faults.add(section, "path prefix", "route "+other+" has the same host and path prefix", "different places")
 	}
-	places[place] = r.Name
+	locations[location] = r.Name
 	checkShares(r, services, faults)
 }
 
@@ -63,8 +63,8 @@
 	}
 }
 
-// checkCallerKeys refuses a key of two organisations: whose work a call is could
-// not be told.
+// checkCallerKeys rejects a key that belongs to two organisations, since its
+// calls could not be attributed to one of them.
 func checkCallerKeys(organisations []Organisation, faults *collector) {
 	owners := map[string]string{}
 	for i := range organisations {
--- a/settings/check_tree.go
+++ b/settings/check_tree.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// checkTree checks what no single key can show.
+// checkTree checks constraints that involve more than one key.
 func checkTree(tree *Tree, faults *collector) {
 	checkPresence(tree, faults)
 	checkNames(tree, faults)
@@ -51,8 +51,8 @@
 	}
 }
 
-// checkOrganisations also refuses a key that two organisations share: requests
-// would be charged to whichever the program happens to meet first.
+// checkOrganisations checks the class selectors, and that no two organisations
+// share a key: their requests would be charged to whichever is found first.
 func checkOrganisations(tree *Tree, faults *collector) {
 	owner := map[string]string{}
 	for _, o := range tree.Organisations {
--- a/settings/collector.go
+++ b/settings/collector.go
@@ -1,7 +1,7 @@
 package settings
 
-// collector gathers the faults of one file, so that an operator sees all of
-// them at once.
+// collector accumulates the faults of one file, so that all of them are reported
+// together.
 type collector struct {
 	file   string
 	faults Faults
@@ -17,7 +17,7 @@
 	})
 }
 
-// err returns the faults, or an untyped nil if there are none.
+// err returns the collected faults, or an untyped nil if there are none.
 func (c *collector) err() error {
 	if len(c.faults) == 0 {
 		return nil
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,3 +1,4 @@
-// Package settings reads and checks the two kinds of INI files: the settings of
-// one process and the operators' tree of organisations, classes and rules.
+// Package settings parses and validates the two kinds of INI settings files: the
+// settings of one process, and the fleet-wide tree of organisations, classes and
+// rules. It also validates and indexes forwarding documents.
 package settings
--- a/settings/document.go
+++ b/settings/document.go
@@ -8,9 +8,9 @@
 const documentHead = `# Settings
 
 This page is generated from the schema by ` + "`celeryport settings document`" + `; a test
-fails when it differs. Settings are INI files of two kinds. ` + "`celeryport settings check FILE...`" + `
-takes either and prints every fault with its file, section, key and what is
-allowed. A file with a fault is not applied, not even in part.
+fails if it is out of date. Settings are INI files of two kinds. ` + "`celeryport settings check FILE...`" + `
+accepts both and prints every fault with its file, section, key and the allowed
+values. A file with a fault is never applied, not even in part.
 
 Examples are in examples/aretusa and examples/brazos.
 
@@ -18,12 +18,12 @@
 
 const treeHead = `# The tree
 
-One text for the whole fleet, applied by ` + "`celeryport settings apply`" + `. Names are
+One file for the whole fleet, applied with ` + "`celeryport settings apply`" + `. Names are
 dotted paths: [organisation.atelier.siracusa] is a branch of
-[organisation.atelier], which has to be there. Sections [organisation], [class]
-and [rule] hold what all branches inherit and may be left out.
+[organisation.atelier], which must exist. The optional sections [organisation],
+[class] and [rule] hold the values that all branches inherit.
 
-A caller's key stands here only as its hash. Make one with:
+Callers' keys are stored only as hashes. To hash a key:
 
     celeryport settings hash-key < caller.key
 
@@ -31,19 +31,19 @@
 
 const processHead = `# Process settings
 
-One file for each process, given to ` + "`celeryport serve --settings FILE`" + `.
+One file per process, passed to ` + "`celeryport serve --settings FILE`" + `.
 
 `
 
 const votersText = `## [voters]
 
-The control group at its first start: one key for each voter, NAME = host:port,
-with the control address. The number of voters is odd. A voter that lost its
-disk comes back under a new name.
+The initial members of the control group: one key per voter, NAME = host:port,
+with its control address. The number of voters must be odd. A voter that lost
+its disk must rejoin under a new name.
 
 `
 
-// Document returns docs/SETTINGS.md.
+// Document returns the content of docs/SETTINGS.md.
 func Document() string {
 	var b strings.Builder
 	b.WriteString(documentHead)
@@ -70,17 +70,17 @@
 	fmt.Fprintf(b, "## %s\n\n%s\n\n", s.title, s.help)
 	b.WriteString("| Key | Default | Allowed | Meaning |\n|---|---|---|---|\n")
 	for _, f := range s.fields {
-		fmt.Fprintf(b, "| %s | %s | %s | %s |\n", f.name, f.shownDefault(), f.allowed, f.help)
+		fmt.Fprintf(b, "| %s | %s | %s | %s |\n", f.name, f.displayDefault(), f.allowed, f.help)
 	}
 	b.WriteString("\n")
 }
 
-func (f field[T]) shownDefault() string {
+func (f field[T]) displayDefault() string {
 	switch {
-	case f.needed:
+	case f.mandatory:
 		return "must be given"
-	case f.initial == "":
+	case f.defaultText == "":
 		return "none"
 	}
-	return f.initial
+	return f.defaultText
 }
--- a/settings/document_test.go
+++ b/settings/document_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-func TestSettingsPageIsThatOfTheSchema(t *testing.T) {
+func TestSettingsPageIsCurrent(t *testing.T) {
 	page, err := os.ReadFile("../docs/SETTINGS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if string(page) != Document() {
-		t.Error("docs/SETTINGS.md differs: write it anew with celeryport settings document")
+		t.Error("docs/SETTINGS.md is out of date: regenerate it with celeryport settings document")
 	}
 }
--- a/settings/fault.go
+++ b/settings/fault.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong in a settings file.
+// Fault is one error in a settings file.
 type Fault struct {
 	File    string `json:"file"`
 	Section string `json:"section,omitempty"`
@@ -31,11 +31,11 @@
 	return b.String()
 }
 
-// Faults is everything that is wrong in one file. A file with a fault is never
-// applied, not even in part.
+// Faults lists all errors of one file. A file with a fault is never applied, not
+// even in part.
 type Faults []Fault
 
-// Error implements error; each fault is a line.
+// Error implements error, with one line per fault.
 func (f Faults) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, fault := range f {
--- a/settings/field.go
+++ b/settings/field.go
@@ -2,27 +2,27 @@
 
 import "strings"
 
-// field is one key of a section: its name, its default, what is allowed, and
-// where in the section's struct its value goes.
+// field describes one key of a section: its name, default and allowed values, and
+// how to store its value in the section's struct.
 type field[T any] struct {
-	name    string
-	initial string // default in text form, empty: none
-	allowed string
-	help    string
-	own     bool // not inherited by the branches below
-	needed  bool // must be given
-	secret  bool // never repeated in a fault
-	set     func(target *T, text string) error
-	reset   func(target *T)
+	name        string
+	defaultText string // default in text form, empty: none
+	allowed     string
+	help        string
+	local       bool // not inherited by descendants
+	mandatory   bool // mandatory
+	secret      bool // value is never included in a fault
+	set         func(target *T, text string) error
+	reset       func(target *T)
 }
 
-// key describes one key of a section.
-func key[T, V any](name string, v value[V], initial string, at func(*T) *V, help string) field[T] {
+// key returns the field called name, which is stored where at points.
+func key[T, V any](name string, v value[V], defaultText string, at func(*T) *V, help string) field[T] {
 	return field[T]{
-		name:    name,
-		initial: initial,
-		allowed: v.allowed,
-		help:    help,
+		name:        name,
+		defaultText: defaultText,
+		allowed:     v.allowed,
+		help:        help,
 		set: func(target *T, text string) error {
 			parsed, err := v.parse(text)
 			if err != nil {
@@ -38,26 +38,26 @@
 	}
 }
 
-// notInherited marks a key that belongs to its own branch only.
+// notInherited marks a key that descendants do not inherit.
 func (f field[T]) notInherited() field[T] {
-	f.own = true
+	f.local = true
 	return f
 }
 
-// required marks a key that must be given.
+// required marks a mandatory key.
 func (f field[T]) required() field[T] {
-	f.needed = true
+	f.mandatory = true
 	return f
 }
 
-// hidden marks a key whose value must not reach a terminal or a log, where
-// anyone who reads a fault could use it.
+// hidden marks a secret: faults are printed on terminals and in logs, so they
+// must not include its value.
 func (f field[T]) hidden() field[T] {
 	f.secret = true
 	return f
 }
 
-// problem describes a value that does not fit.
+// problem returns the fault text for an invalid value.
 func (f field[T]) problem(text string) string {
 	if f.secret {
 		return "value does not fit"
@@ -73,8 +73,8 @@
 	fields []field[T]
 }
 
-// defaults returns the struct that a section without any key has. A default
-// that its own parser refuses is a fault of the program.
+// defaults returns the values of a section without keys. It panics if the parser
+// of a field rejects the field's default, which is a programming error.
 func (s *schema[T]) defaults() T {
 	var target T
 	s.setDefaults(&target)
@@ -83,23 +83,23 @@
 
 func (s *schema[T]) setDefaults(target *T) {
 	for _, f := range s.fields {
-		if f.initial == "" {
+		if f.defaultText == "" {
 			continue
 		}
-		if err := f.set(target, f.initial); err != nil {
+		if err := f.set(target, f.defaultText); err != nil {
 			panic("settings: default of " + s.kind + "." + f.name + " is not allowed")
 		}
 	}
 }
 
-// decode applies the keys of one section to target, which holds what it
-// inherits.
+// decode applies the keys of one section to target, which already holds the
+// inherited values.
 func (s *schema[T]) decode(target *T, sec section, faults *collector) {
 	for _, k := range sec.keys {
 		s.decodeKey(target, sec, k, faults)
 	}
 	for _, f := range s.fields {
-		if f.needed && !sec.has(f.name) {
+		if f.mandatory && !sec.has(f.name) {
 			faults.add(sec.name, f.name, "key is missing", f.allowed)
 		}
 	}
@@ -120,10 +120,10 @@
 	}
 }
 
-// inherit returns what a branch takes from its parent.
+// inherit returns the values that a child branch inherits from parent.
 func (s *schema[T]) inherit(parent T) T {
 	for _, f := range s.fields {
-		if f.own {
+		if f.local {
 			f.reset(&parent)
 		}
 	}
--- a/settings/forwarding.go
+++ b/settings/forwarding.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Forwarding holds the part of the settings by which calls are passed on
-// unchanged: which call goes to which service, and what may be done with it.
+// Forwarding configures the calls that are forwarded unchanged: the routes, the
+// services they lead to, and the limits of callers.
 type Forwarding struct {
-	Version  uint64 // of the operator's document; of two, the higher one holds
+	Version  uint64 // of the operator's document; the highest version is in force
 	Routes   []Route
 	Services []ForwardedService
 	Limits   CallerLimits
@@ -13,76 +13,76 @@
 	services map[string]int
 }
 
-// Route says what is done with the calls to one host below one path.
+// Route configures the calls to one host below one path prefix.
 type Route struct {
 	Name        string
 	Host        string
 	PathPrefix  string // begins and ends with a slash
 	Repeat      Repeat
-	Stream      bool          // the answer is a series of events
-	Prompt      bool          // calls carry a prompt, whose length is known
-	Timeout     time.Duration // longest time that a call is kept waiting
-	Objective   time.Duration // of the whole answer, or of the first event of a stream
-	LongPause   time.Duration // longest pause between two events that is still in time
+	Stream      bool          // the answer is an event stream
+	Prompt      bool          // calls carry a prompt of known length
+	Timeout     time.Duration // total time allowed for a call
+	Objective   time.Duration // target time to the whole answer, or to the first event of a stream
+	LongPause   time.Duration // target for the longest pause between two events
 	Priority    int           // 0 is the most urgent
-	MaxSends    int           // upstreams that one call may be sent to
-	Public      bool          // no key is asked for
+	MaxSends    int           // maximum number of upstreams that one call is sent to
+	Public      bool          // no API key is required
 	Shares      []ServiceShare
 	TotalWeight int
 }
 
-// Repeat says what may be sent again after an upstream may have run it.
+// Repeat says how a call may be repeated after an upstream may have executed it.
 type Repeat uint8
 
 const (
-	// Never may be sent again only when it is proved that it did not run.
+	// Never allows a repeat only if the call is known not to have run.
 	Never Repeat = iota
-	// Whole may be sent again from the start.
+	// Whole allows a repeat from the start.
 	Whole
-	// Rest may be resumed after the last event that arrived.
+	// Rest allows the answer to be resumed after the last received event.
 	Rest
 )
 
-// ServiceShare is the part of a route's calls that goes to one service.
+// ServiceShare is the weight of one service among a route's calls.
 type ServiceShare struct {
 	Service string
 	Weight  int
 }
 
-// ForwardedService is a service whose instances announce themselves.
+// ForwardedService is a service whose upstreams announce themselves.
 type ForwardedService struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int            // that one instance accepts from all callers together; 0: not known
-	Engine         *EngineProfile // of a model engine, nil for a plain service
+	MaxConnections int            // accepted by one upstream from all clients together; 0: unknown
+	Engine         *EngineProfile // nil for a plain service
 }
 
-// EngineProfile says how fast the engines of a service work.
+// EngineProfile is the performance model of a service's engines.
 type EngineProfile struct {
-	Slots          int           // requests that run at once
+	Slots          int           // requests that run concurrently
 	MemoryTokens   int           // tokens of KV memory
-	Stride         int           // steps of one pass that includes writers
-	Step           time.Duration // one token of each writer
-	StepPerWriter  time.Duration // added to Step for each writer
-	StepPerContext time.Duration // added to Step for each 1,000 tokens of a writer's context
-	ReadRate       float64       // prompt tokens a second
-	PairsPerM      time.Duration // reading, for each million pairs of a token and an earlier one
-	Chunk          int           // prompt tokens of one step at most
-	Hop            time.Duration // added to each step of a request whose prompt several engines hold
+	Stride         int           // decode steps per pass while requests are decoding
+	Step           time.Duration // base duration of a decode step, which yields one token per decoding request
+	StepPerWriter  time.Duration // added to Step per decoding request
+	StepPerContext time.Duration // added to Step per 1,000 tokens of a decoding request's context
+	ReadRate       float64       // prefill rate, in prompt tokens per second
+	PairsPerM      time.Duration // prefill time per million pairs of a token and an earlier token
+	Chunk          int           // maximum prompt tokens per step
+	Hop            time.Duration // added to each step of a request whose prompt is spread over several engines
 	UsualPrompt    int           // mean prompt tokens
 	UsualAnswer    int           // mean answer tokens
 	LeastPause     time.Duration // shortest LongPause of the routes to the service, 0 if none has one
 }
 
-// CallerLimits bound what a caller may send, and how long it may take.
+// CallerLimits bounds the size and the duration of callers' requests.
 type CallerLimits struct {
 	HeaderBytes   int
 	BodyBytes     int64
-	HeaderTimeout time.Duration // of a whole header, from its first byte
-	IdleTimeout   time.Duration // of a connection between two calls
+	HeaderTimeout time.Duration // to receive a whole header, from its first byte
+	IdleTimeout   time.Duration // maximum pause between two calls on a connection
 }
 
-// Service returns the service of that name, nil if there is none.
+// Service returns the named service, nil if there is none.
 func (f *Forwarding) Service(name string) *ForwardedService {
 	at, found := f.services[name]
 	if !found {
@@ -91,7 +91,7 @@
 	return &f.Services[at]
 }
 
-// Engines returns the names of the services that read prompts.
+// Engines returns the names of the services whose upstreams are model engines.
 func (f *Forwarding) Engines() []string {
 	var names []string
 	for i := range f.Services {
--- a/settings/forwarding_index.go
+++ b/settings/forwarding_index.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// routeIndex finds a route by host and path: of each host the routes with the
-// longest prefix first.
+// routeIndex maps each host to the indices of its routes, ordered by descending
+// length of the path prefix.
 type routeIndex map[string][]int
 
-// NewForwardingTree checks the routes and services of a document, and returns
-// the tree that instances decide by. The error is Faults with everything that is
-// wrong; file only names the document in them.
+// NewForwardingTree validates the routes and services of a forwarding document
+// and returns a tree with them. The error is a Faults that lists every problem;
+// file is the document's name in the faults.
 func NewForwardingTree(file string, organisations []Organisation, f *Forwarding) (*Tree, error) {
 	faults := &collector{file: file}
 	checkForwarding(f, faults)
@@ -29,20 +29,20 @@
 		host := strings.ToLower(f.Routes[i].Host)
 		f.routes[host] = append(f.routes[host], i)
 	}
-	for _, ofHost := range f.routes {
-		sort.SliceStable(ofHost, func(a, b int) bool {
-			return len(f.Routes[ofHost[a]].PathPrefix) > len(f.Routes[ofHost[b]].PathPrefix)
+	for _, indices := range f.routes {
+		sort.SliceStable(indices, func(a, b int) bool {
+			return len(f.Routes[indices[a]].PathPrefix) > len(f.Routes[indices[b]].PathPrefix)
 		})
 	}
 	f.services = make(map[string]int, len(f.Services))
 	for i := range f.Services {
 		f.services[f.Services[i].Name] = i
 	}
-	f.notePauses()
+	f.setLeastPauses()
 }
 
-// notePauses gives the engines of each service the shortest pause of its routes.
-func (f *Forwarding) notePauses() {
+// setLeastPauses sets the LeastPause of each engine service from the routes to it.
+func (f *Forwarding) setLeastPauses() {
 	for i := range f.Routes {
 		route := &f.Routes[i]
 		for _, to := range route.Shares {
@@ -57,8 +57,8 @@
 	}
 }
 
-// Match returns the route of a host with the longest prefix that begins the
-// path, nil if there is none.
+// Match returns the route of host with the longest prefix of path, nil if no
+// route matches.
 func (f *Forwarding) Match(host, path string) *Route {
 	for _, i := range f.routes[strings.ToLower(host)] {
 		if strings.HasPrefix(path, f.Routes[i].PathPrefix) {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// Choose returns the service that a draw between 0 and 1 falls on.
+// Choose returns a service by weight. draw is a random number in [0, 1).
 func (r *Route) Choose(draw float64) string {
 	at := draw * float64(r.TotalWeight)
 	for i := range r.Shares {
@@ -80,7 +80,7 @@
 	return r.lastWeighted()
 }
 
-// lastWeighted covers a draw that rounding put past the last share.
+// lastWeighted is the fallback if rounding puts a draw past the last share.
 func (r *Route) lastWeighted() string {
 	for i := len(r.Shares) - 1; i >= 0; i-- {
 		if r.Shares[i].Weight > 0 {
--- a/settings/ini_test.go
+++ b/settings/ini_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// An operator's key holds characters that INI libraries take for comments or
-// quotes. If they were cut off, a shorter key than the operator chose would be
-// in force, and the one that was given out would be refused.
-func TestValuesStandAsTheyAreWritten(t *testing.T) {
+// Guards against keys with characters that INI libraries treat as comments or
+// quotes. If they were stripped, a shorter key would be in force and the key that
+// the operator distributed would be rejected.
+func TestValuesAreReadLiterally(t *testing.T) {
 	const head = "[process]\nname = one\navailability_zone = zone\n[listen]\naddress = 127.0.0.1:1\n" +
 		"[control]\naddress = 127.0.0.1:2\n[voters]\none = 127.0.0.1:2\n"
 	for _, key := range []string{
@@ -20,7 +20,7 @@
 			continue
 		}
 		if p.InstanceKey != key {
-			t.Errorf("%s became %s", key, p.InstanceKey)
+			t.Errorf("key %s was read as %s", key, p.InstanceKey)
 		}
 	}
 }
--- a/settings/lookup.go
+++ b/settings/lookup.go
@@ -1,8 +1,8 @@
 package settings
 
-// Length returns the length class of a prompt of so many tokens. A prompt that
-// is longer than all classes belongs to the longest; a tree without any class
-// gives the zero Length.
+// Length returns the length class of a prompt with the given number of tokens.
+// Prompts beyond the bound of the longest class belong to it; without length
+// classes the result is the zero Length.
 func (t *Tree) Length(tokens int) Length {
 	for _, l := range t.Lengths {
 		if tokens <= l.UpTo {
@@ -15,7 +15,7 @@
 	return t.Lengths[len(t.Lengths)-1]
 }
 
-// Model returns the model of that name.
+// Model returns the named model.
 func (t *Tree) Model(name string) (Model, bool) {
 	for _, m := range t.Models {
 		if m.Name == name {
@@ -25,7 +25,7 @@
 	return Model{}, false
 }
 
-// Service returns the plain service of that name.
+// Service returns the named plain service.
 func (t *Tree) Service(name string) (Service, bool) {
 	for _, s := range t.Services {
 		if s.Name == name {
--- a/settings/names.go
+++ b/settings/names.go
@@ -2,12 +2,12 @@
 
 import "regexp"
 
-// The patterns of the text values.
+// Patterns of text values.
 var (
-	branchPattern  = regexp.MustCompile(`^[a-z0-9][a-z0-9-]*(\.[a-z0-9][a-z0-9-]*)*$`)
-	namePattern    = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
-	digestPattern  = regexp.MustCompile(`^[0-9a-f]{64}$`)
-	anythingOrNone = regexp.MustCompile(`^.*$`)
+	branchPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]*(\.[a-z0-9][a-z0-9-]*)*$`)
+	namePattern   = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
+	digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
+	anyPattern    = regexp.MustCompile(`^.*$`)
 )
 
 const (
--- a/settings/parse_process.go
+++ b/settings/parse_process.go
@@ -5,14 +5,14 @@
 	"sort"
 )
 
-// votersKind is the section whose keys are the voters' names.
+// votersKind is the section that maps names of voters to addresses.
 const votersKind = "voters"
 
 const processKinds = "[process], [listen], [control], [voters], [keys], [pools], [limits]"
 
-// ParseProcess reads and checks the settings of one process. The error is
-// Faults with everything that is wrong. Relative paths in the text are relative
-// to the folder of file.
+// ParseProcess parses and validates the settings of one process. The error is a
+// Faults that lists every problem. Relative paths in the text are resolved
+// against the folder of file.
 func ParseProcess(file string, text []byte) (*Process, error) {
 	faults := &collector{file: file}
 	sections, ok := readSections(text, faults)
@@ -30,14 +30,14 @@
 	var p Process
 	var keys processKeys
 	parts := []processPart{
-		partOf(&processSchema, &p),
-		partOf(&listenSchema, &p),
+		sectionPart(&processSchema, &p),
+		sectionPart(&listenSchema, &p),
 		dutyPart(listenSchema.kind, &p),
-		partOf(&controlSchema, &p),
-		partOf(&keysSchema, &keys),
+		sectionPart(&controlSchema, &p),
+		sectionPart(&keysSchema, &keys),
 		dutyPart(keysSchema.kind, &p),
-		partOf(&poolsSchema, &p),
-		partOf(&limitsSchema, &p),
+		sectionPart(&poolsSchema, &p),
+		sectionPart(&limitsSchema, &p),
 	}
 	known := map[string]bool{votersKind: true}
 	for _, part := range parts {
@@ -53,8 +53,8 @@
 	resolveKeys(&p, &keys, faults)
 	fillAddresses(&p)
 	folder := filepath.Dir(faults.file)
-	p.DataFolder = beside(folder, p.DataFolder)
-	p.Tree = beside(folder, p.Tree)
+	p.DataFolder = resolvePath(folder, p.DataFolder)
+	p.Tree = resolvePath(folder, p.Tree)
 	return &p
 }
 
@@ -64,18 +64,18 @@
 	decode func(sections []section, faults *collector)
 }
 
-func partOf[T any](s *schema[T], target *T) processPart {
+func sectionPart[T any](s *schema[T], target *T) processPart {
 	return processPart{
 		kind: s.kind,
 		decode: func(sections []section, faults *collector) {
 			s.setDefaults(target)
-			mine := section{name: s.kind}
+			matching := section{name: s.kind}
 			for _, sec := range sections {
 				if sec.name == s.kind {
-					mine = sec
+					matching = sec
 				}
 			}
-			s.decode(target, mine, faults)
+			s.decode(target, matching, faults)
 		},
 	}
 }
@@ -116,7 +116,7 @@
 	}
 }
 
-// checkProcess checks what no single key can show.
+// checkProcess checks constraints that involve more than one key.
 func checkProcess(p *Process, faults *collector) {
 	if p.Voter && p.DataFolder == "" {
 		faults.add(processSchema.kind, "data_folder", "a voter needs a data folder", "a path")
--- a/settings/parse_tree.go
+++ b/settings/parse_tree.go
@@ -2,11 +2,11 @@
 
 import "sort"
 
-// treeKinds are the kinds of sections that a tree may hold.
+// treeKinds lists the kinds of sections in a tree, for faults.
 const treeKinds = "[organisation], [class], [rule], [length.NAME], [model.NAME], [service.NAME], [fleet]"
 
-// ParseTree reads and checks a settings tree. The error is Faults with
-// everything that is wrong; file only names the text in them.
+// ParseTree parses and validates a settings tree. The error is a Faults that
+// lists every problem; file is the name of the text in the faults.
 func ParseTree(file string, text []byte) (*Tree, error) {
 	faults := &collector{file: file}
 	sections, ok := readSections(text, faults)
@@ -35,7 +35,7 @@
 }
 
 func decodeTree(sections []section, faults *collector) *Tree {
-	tree := &Tree{Fleet: decodeOne(&fleetSchema, sections, faults)}
+	tree := &Tree{Fleet: decodeSingle(&fleetSchema, sections, faults)}
 	for _, b := range decodeBranches(&organisationSchema, sections, faults) {
 		b.value.Name = b.name
 		tree.Organisations = append(tree.Organisations, b.value)
--- a/settings/parse_tree_test.go
+++ b/settings/parse_tree_test.go
@@ -100,11 +100,11 @@
 	}
 }
 
-func TestResolveRefusesWhatIsNotThere(t *testing.T) {
+func TestResolveRejectsUnknownAndForbiddenNames(t *testing.T) {
 	tree := parseSmallTree(t)
 	for _, c := range [][2]string{{"nobody", "counter"}, {"atelier", "nothing"}, {"atelier", "secret"}} {
 		if _, err := tree.Resolve(c[0], c[1]); err == nil {
-			t.Errorf("%v was resolved", c)
+			t.Errorf("%v: resolved without an error", c)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 	tree := parseSmallTree(t)
 	for tokens, name := range map[int]string{1: "short", 4000: "short", 4001: "long", 2_000_000: "long"} {
 		if got := tree.Length(tokens).Name; got != name {
-			t.Errorf("%d tokens are %s", tokens, got)
+			t.Errorf("%d tokens: length class %s", tokens, got)
 		}
 	}
 	if m, ok := tree.Model("sarto-1.5"); !ok || len(m.Adapters) != 2 {
@@ -134,7 +134,7 @@
 		t.Errorf("got %q %v", name, ok)
 	}
 	if name, ok := tree.Authenticate("wrong"); ok {
-		t.Errorf("a wrong key is %q", name)
+		t.Errorf("an unknown key authenticates as %q", name)
 	}
 }
 
@@ -145,14 +145,14 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		tree, err := ParseTree("fuzz.ini", text)
 		if (tree == nil) == (err == nil) {
-			t.Fatal("neither a tree nor faults, or both")
+			t.Fatal("want either a tree or faults")
 		}
 		if err == nil {
 			checkEveryPair(t, tree)
 			return
 		}
 		if strings.TrimSpace(err.Error()) == "" {
-			t.Fatal("a fault without a text")
+			t.Fatal("fault without text")
 		}
 	})
 }
--- a/settings/pauses_test.go
+++ b/settings/pauses_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// The engines of a service read beside their streams for as long as the route with the
-// shortest pauses bears. If they go by another route, or by the routes of another
-// service, its streams stand still for too long or long prompts are refused.
-func TestEnginesKnowTheShortestPauseOfTheirRoutes(t *testing.T) {
+// The engines of a service may prefill during decoding for as long as the shortest
+// LongPause of the service's routes permits. A value of another route or service
+// would stall streams for too long or reject long prompts.
+func TestEngineServicesGetShortestPauseOfTheirRoutes(t *testing.T) {
 	route := func(name, service string, pause time.Duration) Route {
 		return Route{
 			Name: name, Host: "h", PathPrefix: "/" + name + "/", Stream: true, Timeout: time.Second, LongPause: pause,
--- a/settings/process.go
+++ b/settings/process.go
@@ -2,59 +2,59 @@
 
 import "time"
 
-// Process is the checked content of one process settings file.
+// Process is the validated content of a process settings file.
 type Process struct {
 	Name             string // unique in the fleet
 	AvailabilityZone string
 	Region           string
-	Serves           Duty     // what it does for callers
-	Listen           string   // traffic address, host:port, callers and upstreams connect here
-	Readiness        string   // address that answers whether the instance takes traffic; empty: none
-	Directory        string   // address that answers which addresses callers may use; empty: none
-	Metrics          string   // address of the metrics; empty: that of Listen
-	Advertise        string   // traffic address given to callers; Listen if empty
-	ControlListen    string   // control address, host:port, instances connect here
-	ControlAdvertise string   // ControlListen if empty
+	Serves           Duty     // role of the instance towards callers
+	Listen           string   // traffic address, host:port, for callers and upstreams
+	Readiness        string   // address of the readiness check; empty: none
+	Directory        string   // address that serves the list of addresses for callers; empty: none
+	Metrics          string   // address of the metrics; empty: served on Listen
+	Advertise        string   // traffic address announced to callers; Listen if empty
+	ControlListen    string   // control address, host:port, for instances and operators
+	ControlAdvertise string   // control address announced to instances; ControlListen if empty
 	DataFolder       string   // required for a voter
-	Voter            bool     // takes part in the control group
-	Voters           []Member // the control group at first start, or those who know it now
-	Found            bool     // the voters may found a new group
-	Losses           int      // voters that may be lost at the same time; 0: operators replace voters
+	Voter            bool     // member of the control group
+	Voters           []Member // initial members of the control group, or instances to ask for the current ones
+	Found            bool     // whether the voters may found a new control group
+	Losses           int      // simultaneous voter losses to tolerate; 0: operators replace voters
 	InstanceKey      string   // shared by the instances
 	OperatorKeys     []string
 	UpstreamKeys     []string // accepted from upstreams that announce themselves
 	EngineKey        string   // sent to upstreams
-	Tree             string   // path of a tree applied if no tree was ever accepted; empty: none
+	Tree             string   // path of a tree that is proposed if no tree was ever accepted; empty: none
 	LogLevel         string
 	MaxConnections   int
-	ReadTimeout      time.Duration // of a caller's whole request
-	DrainTimeout     time.Duration // bound of a graceful shutdown
-	RepeatRatio      float64       // sends beyond the first of each forwarded call, as a part of the calls for a service, by all instances
-	RepeatSlack      int           // repeats beyond that ratio, by all instances
-	RepeatWindow     time.Duration // any span of this length counts
+	ReadTimeout      time.Duration // to receive a caller's whole request
+	DrainTimeout     time.Duration // maximum duration of a graceful shutdown
+	RepeatRatio      float64       // repeated sends as a fraction of a service's forwarded calls, over all instances
+	RepeatSlack      int           // repeated sends allowed beyond that ratio, over all instances
+	RepeatWindow     time.Duration // sliding window of RepeatRatio and RepeatSlack
 	Pools            Pools
 }
 
-// Duty says what an instance does for callers.
+// Duty is the role of an instance towards callers.
 type Duty string
 
 const (
-	// ServesCompletions answers the completions interface and schedules prompts.
+	// ServesCompletions serves the completions API and schedules prompts.
 	ServesCompletions Duty = "completions"
-	// ServesForwarding passes calls on by the routes of the settings.
+	// ServesForwarding forwards calls by the routes of the settings.
 	ServesForwarding Duty = "forwarding"
-	// ServesControl takes part in control and takes no calls.
+	// ServesControl takes part in the control plane and serves no calls.
 	ServesControl Duty = "control"
 )
 
-// Member names one voter of the control group.
+// Member is one voter of the control group.
 type Member struct {
-	ID      string // never reused: a voter that lost its disk gets a new one
+	ID      string // never reused: a voter that lost its disk gets a new ID
 	Address string // control address
 }
 
-// Pools are the sizes of the worker pools; the length classes have pools of
-// their own, so that long streams never hold the workers of short ones.
+// Pools holds the sizes of the worker pools. Short and long prompts have separate
+// pools, so that long streams never occupy the workers of short ones.
 type Pools struct {
 	Short   int
 	Long    int
--- a/settings/process_keys.go
+++ b/settings/process_keys.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// processKeys are the keys as they stand in the file, possibly as file: paths.
+// processKeys holds the keys as written in the file, either literal or as file:PATH.
 type processKeys struct {
 	instance  string
 	operators []string
@@ -17,8 +17,8 @@
 
 const (
 	filePrefix = "file:"
-	// leastKeyLength keeps keys that can be guessed out of the fleet.
-	leastKeyLength = 16
+	// minKeyLength rejects keys that are short enough to guess.
+	minKeyLength = 16
 )
 
 var secretPattern = regexp.MustCompile(`^(file:.+|[!-~]{16,})$`)
@@ -27,50 +27,50 @@
 
 func secret() value[string] { return text(secretAllowed, secretPattern) }
 
-// resolveKeys reads the keys that are given as files. Faults name the path and
-// never the key.
+// resolveKeys reads the keys that are given as file:PATH. Faults contain the path
+// but never the key.
 func resolveKeys(p *Process, keys *processKeys, faults *collector) {
 	resolver := keyResolver{folder: filepath.Dir(faults.file), faults: faults}
-	p.InstanceKey = resolver.one("instance", keys.instance)
-	p.OperatorKeys = resolver.all("operators", keys.operators)
-	p.UpstreamKeys = resolver.all("upstreams", keys.upstreams)
-	p.EngineKey = resolver.one("engine", keys.engine)
+	p.InstanceKey = resolver.resolve("instance", keys.instance)
+	p.OperatorKeys = resolver.resolveAll("operators", keys.operators)
+	p.UpstreamKeys = resolver.resolveAll("upstreams", keys.upstreams)
+	p.EngineKey = resolver.resolve("engine", keys.engine)
 }
 
-// keyResolver reads keys from files beside the settings file.
+// keyResolver reads keys from files; relative paths are relative to folder.
 type keyResolver struct {
 	folder string
 	faults *collector
 }
 
-func (r *keyResolver) all(name string, given []string) []string {
+func (r *keyResolver) resolveAll(name string, given []string) []string {
 	var keys []string
 	for _, text := range given {
-		keys = append(keys, r.one(name, text))
+		keys = append(keys, r.resolve(name, text))
 	}
 	return keys
 }
 
-func (r *keyResolver) one(name, given string) string {
+func (r *keyResolver) resolve(name, given string) string {
 	path, fromFile := strings.CutPrefix(given, filePrefix)
 	if !fromFile {
 		return given
 	}
-	content, err := os.ReadFile(beside(r.folder, path))
+	content, err := os.ReadFile(resolvePath(r.folder, path))
 	if err != nil {
 		r.faults.add(keysSchema.kind, name, "key file can't be read: "+err.Error(), "a readable file")
 		return ""
 	}
 	key := strings.TrimSpace(string(content))
-	if len(key) < leastKeyLength {
+	if len(key) < minKeyLength {
 		r.faults.add(keysSchema.kind, name, "key in file "+path+" is too short", secretAllowed)
 		return ""
 	}
 	return key
 }
 
-// beside returns a path relative to the folder of the settings file.
-func beside(folder, path string) string {
+// resolvePath resolves a relative path against the folder of the settings file.
+func resolvePath(folder, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
--- a/settings/quotes.go
+++ b/settings/quotes.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// rawQuotes begin a value that the INI library unquotes, and that may run over
-// several lines. A key that happens to begin so would lose its first and last
-// characters without a word.
+// rawQuotes are the quotes that the INI library strips, and whose values may span
+// several lines. A secret that begins with one would silently lose characters at
+// both ends.
 var rawQuotes = []string{"`", `"""`}
 
-// checkQuotes refuses values that begin with such a quote.
-func checkQuotes(content []byte, faults *collector) {
+// checkRawQuotes rejects values that begin with one of rawQuotes.
+func checkRawQuotes(content []byte, faults *collector) {
 	name := ""
 	for line := range strings.Lines(string(content)) {
 		line = strings.TrimSpace(line)
--- a/settings/resolve.go
+++ b/settings/resolve.go
@@ -2,8 +2,8 @@
 
 import "celeryport/verdict"
 
-// Resolve returns what applies to a request of the organisation in the class.
-// An empty class stands for the default class of the fleet.
+// Resolve returns the settings of a request by organisation and class. An empty
+// class selects the fleet's default class.
 func (t *Tree) Resolve(organisation, class string) (Resolved, *verdict.Error) {
 	if class == "" {
 		class = t.Fleet.DefaultClass
@@ -21,7 +21,7 @@
 			"organisation %s may not use class %s", organisation, class)
 	}
 	resolved := combine(o, c)
-	if rule := t.winner(organisation, class); rule != nil {
+	if rule := t.matchingRule(organisation, class); rule != nil {
 		resolved.override(rule)
 	}
 	return resolved, nil
@@ -55,8 +55,8 @@
 	}
 }
 
-// winner returns the most specific rule that matches, nil if none does.
-func (t *Tree) winner(organisation, class string) *Rule {
+// matchingRule returns the most specific matching rule, nil if none matches.
+func (t *Tree) matchingRule(organisation, class string) *Rule {
 	var best *Rule
 	for i := range t.Rules {
 		r := &t.Rules[i]
@@ -70,8 +70,8 @@
 	return best
 }
 
-// moreSpecific compares two rules that match the same request, so that a longer
-// selector is a deeper one.
+// moreSpecific compares two rules that match the same request. Their selectors
+// are then prefixes of the same path, so the longer one is the deeper one.
 func (r *Rule) moreSpecific(other *Rule) bool {
 	if len(r.Organisation) != len(other.Organisation) {
 		return len(r.Organisation) > len(other.Organisation)
--- a/settings/schema_process.go
+++ b/settings/schema_process.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// addressPattern is a host, or an IP number, and a port.
+// addressPattern matches a host name or IP address and a port.
 var addressPattern = regexp.MustCompile(`^(\[[0-9a-fA-F:]+\]|[A-Za-z0-9.-]+):[0-9]{1,5}$`)
 
 const addressAllowed = "host:port, the host as an IP number"
 
 func address() value[string] { return text(addressAllowed, addressPattern) }
 
-func path() value[string] { return text("a path, relative to the folder of this file", anythingOrNone) }
+func path() value[string] { return text("a path, relative to the folder of this file", anyPattern) }
 
 func duty() value[Duty] {
 	words := oneOf(string(ServesCompletions), string(ServesForwarding), string(ServesControl))
@@ -26,113 +26,113 @@
 }
 
 const (
-	mostConnections = mega
-	mostLosses      = 4
-	mostTimeout     = time.Hour
-	mostPool        = 100 * kilo
+	maxConnections = mega
+	maxLosses      = 4
+	maxTimeout     = time.Hour
+	maxPool        = 100 * kilo
 )
 
 var processSchema = schema[Process]{
 	kind:  "process",
 	title: "[process]",
-	help:  "What this process is.",
+	help:  "Identity and role of this process.",
 	fields: []field[Process]{
 		key("name", plainName(), "", func(p *Process) *string { return &p.Name },
 			"Name of the instance, unique in the fleet.").required(),
 		key("availability_zone", plainName(), "", func(p *Process) *string { return &p.AvailabilityZone },
-			"Availability zone that it runs in.").required(),
+			"Availability zone in which it runs.").required(),
 		key("region", plainName(), "", func(p *Process) *string { return &p.Region },
-			"Region that it runs in."),
+			"Region in which it runs."),
 		key("serves", duty(), string(ServesCompletions), func(p *Process) *Duty { return &p.Serves },
-			"What it does for callers: answer the completions interface, forward calls by the routes of the settings, or nothing but control."),
+			"Role towards callers: serve the completions API, forward calls by the routes of the settings, or serve control only."),
 		key("voter", boolean(), "false", func(p *Process) *bool { return &p.Voter },
-			"Whether it takes part in the control group; needs data_folder."),
+			"Whether it is a voter of the control group; requires data_folder."),
 		key("data_folder", path(), "", func(p *Process) *string { return &p.DataFolder },
-			"Folder of everything that must survive a restart."),
+			"Folder for all data that must survive a restart."),
 		key("found", boolean(), "true", func(p *Process) *bool { return &p.Found },
-			"Whether the instances of [voters] may found a new control group. False on every start but the first of a fleet whose voters are replaced by themselves: the addresses then only say whom to ask."),
-		key("losses", count(0, mostLosses), "0", func(p *Process) *int { return &p.Losses },
-			"Voters that may be lost at the same time. The leader then keeps twice as many and one by itself, as long as there are instances for them; 0: operators replace voters."),
+			"Whether the instances of [voters] may found a new control group. In a fleet that replaces its voters automatically, set it to false after the first start: the addresses then only say which instances to ask for the current voters."),
+		key("losses", count(0, maxLosses), "0", func(p *Process) *int { return &p.Losses },
+			"Number of voters that may be lost at the same time. The leader maintains twice as many voters plus one automatically, as far as there are instances for them; 0: operators replace voters."),
 		key("tree", path(), "", func(p *Process) *string { return &p.Tree },
-			"Settings tree that is proposed if none was ever accepted."),
+			"Settings tree that is proposed if no tree was ever accepted."),
 		key("log_level", oneOf("debug", "info", "warning", "error"), "info", func(p *Process) *string { return &p.LogLevel },
-			"Least level of the events that are logged."),
+			"Lowest level of events that are logged."),
 	},
 }
 
 var listenSchema = schema[Process]{
 	kind:  "listen",
 	title: "[listen]",
-	help:  "Where callers and upstreams connect.",
+	help:  "Addresses for callers and upstreams.",
 	fields: []field[Process]{
 		key("address", address(), "", func(p *Process) *string { return &p.Listen },
-			"Address that it listens on; must be given unless it serves control only."),
+			"Address to listen on; mandatory unless the process serves control only."),
 		key("advertise", address(), "", func(p *Process) *string { return &p.Advertise },
-			"Address that callers are told; left out: address."),
+			"Address that is announced to callers; default: address."),
 		key("readiness", address(), "", func(p *Process) *string { return &p.Readiness },
-			"Address that answers whether the instance takes traffic; left out: none."),
+			"Address of the readiness check; default: none."),
 		key("directory", address(), "", func(p *Process) *string { return &p.Directory },
-			"Address that answers which addresses callers may use; left out: none."),
+			"Address that serves the list of addresses for callers; default: none."),
 		key("metrics", address(), "", func(p *Process) *string { return &p.Metrics },
-			"Address of the metrics; left out: the traffic address."),
+			"Address of the metrics; default: the traffic address."),
 	},
 }
 
 var controlSchema = schema[Process]{
 	kind:  "control",
 	title: "[control]",
-	help:  "Where the other instances and operators connect.",
+	help:  "Addresses for other instances and operators.",
 	fields: []field[Process]{
 		key("address", address(), "", func(p *Process) *string { return &p.ControlListen },
-			"Address that it listens on.").required(),
+			"Address to listen on.").required(),
 		key("advertise", address(), "", func(p *Process) *string { return &p.ControlAdvertise },
-			"Address that other instances are told; left out: address."),
+			"Address that is announced to other instances; default: address."),
 	},
 }
 
 var keysSchema = schema[processKeys]{
 	kind:  "keys",
 	title: "[keys]",
-	help:  "Keys are given as they are, or as file:PATH of a file that holds the key; PATH is relative to this file.",
+	help:  "Keys are given literally, or as file:PATH, the path of a file with the key, relative to this file.",
 	fields: []field[processKeys]{
 		key("instance", secret(), "", func(k *processKeys) *string { return &k.instance },
-			"Key that the instances share.").hidden().required(),
+			"Key that all instances share.").hidden().required(),
 		key("operators", list(secret()), "", func(k *processKeys) *[]string { return &k.operators },
-			"Keys of operators; must be given with the completions interface.").hidden(),
+			"Keys of operators; mandatory if the completions API is served.").hidden(),
 		key("upstreams", list(secret()), "", func(k *processKeys) *[]string { return &k.upstreams },
-			"Keys of upstreams that announce themselves; must be given with the completions interface.").hidden(),
+			"Keys of upstreams that announce themselves; mandatory if the completions API is served.").hidden(),
 		key("engine", secret(), "", func(k *processKeys) *string { return &k.engine },
-			"Key that is sent to upstreams; must be given with the completions interface.").hidden(),
+			"Key that is sent to upstreams; mandatory if the completions API is served.").hidden(),
 	},
 }
 
 var poolsSchema = schema[Process]{
 	kind:  "pools",
 	title: "[pools]",
-	help:  "Sizes of the worker pools. The length classes have pools of their own, so that long streams never hold the workers of short ones.",
+	help:  "Sizes of the worker pools. Short and long prompts have separate pools, so that long streams never occupy the workers of short ones.",
 	fields: []field[Process]{
-		key("short", count(1, mostPool), "2k", func(p *Process) *int { return &p.Pools.Short }, "Workers of short prompts."),
-		key("long", count(1, mostPool), "500", func(p *Process) *int { return &p.Pools.Long }, "Workers of long prompts."),
-		key("service", count(1, mostPool), "500", func(p *Process) *int { return &p.Pools.Service }, "Workers of calls of plain services."),
+		key("short", count(1, maxPool), "2k", func(p *Process) *int { return &p.Pools.Short }, "Workers for short prompts."),
+		key("long", count(1, maxPool), "500", func(p *Process) *int { return &p.Pools.Long }, "Workers for long prompts."),
+		key("service", count(1, maxPool), "500", func(p *Process) *int { return &p.Pools.Service }, "Workers for calls to plain services."),
 	},
 }
 
 var limitsSchema = schema[Process]{
 	kind:  "limits",
 	title: "[limits]",
-	help:  "Bounds of this process.",
+	help:  "Limits of this process.",
 	fields: []field[Process]{
-		key("max_connections", count(1, mostConnections), "10k", func(p *Process) *int { return &p.MaxConnections },
-			"Open connections of callers and upstreams."),
-		key("read_timeout", duration(time.Millisecond, mostTimeout), "30s", func(p *Process) *time.Duration { return &p.ReadTimeout },
-			"Time within which a caller's whole request must arrive."),
-		key("drain_timeout", duration(time.Millisecond, mostTimeout), "10m", func(p *Process) *time.Duration { return &p.DrainTimeout },
-			"Bound of a graceful shutdown."),
+		key("max_connections", count(1, maxConnections), "10k", func(p *Process) *int { return &p.MaxConnections },
+			"Maximum number of open connections from callers and upstreams."),
+		key("read_timeout", duration(time.Millisecond, maxTimeout), "30s", func(p *Process) *time.Duration { return &p.ReadTimeout },
+			"Maximum time to receive a caller's whole request."),
+		key("drain_timeout", duration(time.Millisecond, maxTimeout), "10m", func(p *Process) *time.Duration { return &p.DrainTimeout },
+			"Maximum duration of a graceful shutdown."),
 		key("repeat_ratio", number(0, 1), "0.2", func(p *Process) *float64 { return &p.RepeatRatio },
-			"Sends beyond the first of each forwarded call, as a part of the calls for a service; by all instances together."),
-		key("repeat_slack", count(0, mostPool), "100", func(p *Process) *int { return &p.RepeatSlack },
-			"Repeats beyond that part, by all instances together."),
-		key("repeat_window", duration(time.Second, mostTimeout), "10s", func(p *Process) *time.Duration { return &p.RepeatWindow },
-			"Any span of this length counts for both."),
+			"Repeated sends of forwarded calls, as a fraction of the calls for a service, over all instances."),
+		key("repeat_slack", count(0, maxPool), "100", func(p *Process) *int { return &p.RepeatSlack },
+			"Repeated sends allowed beyond that fraction, over all instances."),
+		key("repeat_window", duration(time.Second, maxTimeout), "10s", func(p *Process) *time.Duration { return &p.RepeatWindow },
+			"Sliding window over which repeat_ratio and repeat_slack are enforced."),
 	},
 }
--- a/settings/source.go
+++ b/settings/source.go
@@ -7,16 +7,16 @@
 	"gopkg.in/ini.v1"
 )
 
-// keyValue is one key of a section as it stands in the file.
+// keyValue is one key of a section as written in the file.
 type keyValue struct {
 	name     string
 	text     string
 	repeated bool // given more than once
 }
 
-// section is one section as it stands in the file.
+// section is one section as written in the file.
 type section struct {
-	name string // whole name, for instance organisation.atelier.siracusa
+	name string // full name, such as organisation.atelier.siracusa
 	keys []keyValue
 }
 
@@ -29,7 +29,7 @@
 	return false
 }
 
-// kind is the first part of the section's name, branch the rest.
+// kind returns the first part of the section's name; branch returns the rest.
 func (s section) kind() string {
 	kind, _, _ := strings.Cut(s.name, separator)
 	return kind
@@ -40,23 +40,23 @@
 	return branch
 }
 
-// separator stands between the parts of a section's name.
+// separator separates the parts of a section's name.
 const separator = "."
 
-// longestQuote bounds the part of a wrong value that a fault repeats.
-const longestQuote = 40
+// maxQuoted bounds how much of an invalid value a fault quotes, in bytes.
+const maxQuoted = 40
 
-// quote repeats a wrong value in a fault, cut to a readable length.
+// quote formats an invalid value for a fault, truncated to longestQuote.
 func quote(text string) string {
-	if len(text) > longestQuote {
-		text = text[:longestQuote] + "..."
+	if len(text) > maxQuoted {
+		text = text[:maxQuoted] + "..."
 	}
 	return fmt.Sprintf("%q", text)
 }
 
-// loadOptions let duplicates through to readSections: by default the library
-// merges them, and of two contradicting values the operator would get one
-// without being told which.
+// loadOptions preserves duplicates, so that readSections can report them. By
+// default the library merges them, and one of two contradicting values would
+// silently apply.
 func loadOptions() ini.LoadOptions {
 	return ini.LoadOptions{
 		AllowNonUniqueSections:     true,
@@ -70,10 +70,10 @@
 	}
 }
 
-// readSections parses the INI text. Syntax errors, duplicate sections and keys
-// outside a section are faults. It is not ok if the text is no INI file at all.
+// readSections parses the INI text and reports syntax errors, raw quotes and
+// duplicate sections as faults. ok is false if the text is not an INI file.
 func readSections(content []byte, faults *collector) (sections []section, ok bool) {
-	checkQuotes(content, faults)
+	checkRawQuotes(content, faults)
 	file, err := ini.LoadSources(loadOptions(), content)
 	if err != nil {
 		faults.add("", "", "not an INI file: "+err.Error(), "[section] headers and key = value lines")
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -4,12 +4,12 @@
 	"time"
 )
 
-// Tree is one revision of the operators' settings: organisations, classes of
-// work, the rules that tie them together, length classes, models and services.
-// It is immutable after ParseTree, so a snapshot of it may be shared.
+// Tree is one revision of the fleet-wide settings: organisations, classes of work,
+// rules that combine them, length classes, models and services. It is immutable
+// after ParseTree and can be shared.
 type Tree struct {
-	Revision      uint64 // log index of the change that made it, 0 before the first
-	Text          []byte // the INI text as the operator applied it
+	Revision      uint64 // log index of the entry that applied it, 0 before the first
+	Text          []byte // INI text as applied by the operator
 	Organisations []Organisation
 	Classes       []Class
 	Rules         []Rule
@@ -17,8 +17,8 @@
 	Models        []Model
 	Services      []Service
 	Fleet         Fleet
-	Forwarding    *Forwarding // routes of calls that are passed on, nil if there are none
-	callers       []caller    // the keys of all organisations
+	Forwarding    *Forwarding // routes of forwarded calls, nil if there are none
+	callers       []caller    // keys of all organisations
 }
 
 // Organisation is one branch of the organisation tree. Name is its dotted path
@@ -26,39 +26,38 @@
 type Organisation struct {
 	Name       string
 	KeySHA256  []string // lower-case hex digests of the callers' keys
-	Admit      bool     // false: every request is refused
-	Weight     float64  // share of a full fleet, relative to the other organisations
-	Classes    []string // classes that it may use, with their descendants; empty: all
+	Admit      bool     // false: all requests are rejected
+	Weight     float64  // relative share of the fleet under contention
+	Classes    []string // classes it may use, including their descendants; empty: all
 	Limits     Limits
-	RetryRatio float64 // retries allowed as a fraction of successes
-	Priority   *int    // overrides that of the routes, nil: the route's holds
+	RetryRatio float64 // retries allowed, as a fraction of successful requests
+	Priority   *int    // overrides the priority of routes; nil: that of the route applies
 }
 
 // Class is one branch of the class tree.
 type Class struct {
 	Name       string
-	Priority   int           // engine priority, higher is more urgent
-	Deadline   time.Duration // final answer within
+	Priority   int           // engine priority; higher is more urgent
+	Deadline   time.Duration // from arrival to the final answer
 	NoRepeat   bool          // every request of the class runs at most once
-	QueueLimit int           // most requests waiting on one instance
+	QueueLimit int           // maximum requests waiting on one instance
 	Objectives Objectives
 }
 
-// Limits bound what one organisation may use over the fleet.
-// Zero means no limit.
+// Limits bounds the fleet-wide usage of one organisation. Zero means no limit.
 type Limits struct {
-	TokensPerSecond float64 // prompt and answer tokens admitted a second
-	InFlight        int     // admitted requests not yet finished
+	TokensPerSecond float64 // prompt and answer tokens admitted per second
+	InFlight        int     // admitted requests that have not finished
 	PromptTokens    int     // longest prompt
 }
 
-// Objectives are what the burn report measures a class against.
+// Objectives are the service level objectives of a class, used by the burn report.
 type Objectives struct {
-	FirstToken     time.Duration // bound of the first token for short prompts
+	FirstToken     time.Duration // bound of the time to first token of short prompts
 	FirstTokenGoal float64       // fraction of answers that meet FirstToken
-	InTimeGoal     float64       // fraction of admitted requests answered in time
+	InTimeGoal     float64       // fraction of admitted requests answered before their deadline
 	ServedGoal     float64       // fraction of received requests served
-	SlowdownBound  float64       // bound of the slowdown of short prompts
+	SlowdownBound  float64       // bound of the slowdown of short prompts, against an idle fleet
 	Window         time.Duration // period of the error budget
 }
 
@@ -72,11 +71,11 @@
 	Admit        *bool
 	Priority     *int
 	Deadline     *time.Duration
-	PromptTokens int // longest prompt, 0: that of the organisation
+	PromptTokens int // longest prompt, 0: the organisation's limit applies
 }
 
-// Length is one length class: prompts of at most UpTo estimated tokens that fit
-// no shorter class.
+// Length is one length class: prompts of at most UpTo estimated tokens that do
+// not fit a shorter class.
 type Length struct {
 	Name string
 	UpTo int
@@ -86,10 +85,10 @@
 // Model is a model that engines serve.
 type Model struct {
 	Name     string
-	Version  string   // wished version, empty: whatever the engine has
-	Adapters []string // wished adapters
-	Role     string   // wished role, empty: whatever the engine has
-	Replicas int      // wished number of engines, 0: all that announce it
+	Version  string   // desired version, empty: any
+	Adapters []string // desired adapters
+	Role     string   // desired role, empty: any
+	Replicas int      // desired number of engines, 0: all that announce the model
 	Spans    bool     // prompts larger than one engine may be spread over several
 }
 
@@ -101,19 +100,19 @@
 	InFlight int // calls in flight on one upstream, 0: no limit
 }
 
-// Fleet holds the settings that are not of one branch.
+// Fleet holds the settings that apply to the whole fleet.
 type Fleet struct {
-	DefaultClass  string        // class of requests that name none, empty: such requests are refused
-	BodyLimit     int64         // bytes of a caller's body
+	DefaultClass  string        // class of requests without a class, empty: such requests are rejected
+	BodyLimit     int64         // maximum bytes of a caller's request body
 	KeyLifetime   time.Duration // lifetime of an idempotency key
-	OrderLifetime time.Duration // how long an operator's order id is remembered
-	KeepSeconds   int           // how long callers may keep an address list
-	FreshFor      time.Duration // an upstream that is silent for longer gets no new work
-	StreamSilence time.Duration // silence after which a stream counts as dead
+	OrderLifetime time.Duration // how long the id of an operator's order is kept for deduplication
+	KeepSeconds   int           // how long callers may cache the address list
+	FreshFor      time.Duration // upstreams silent for longer get no new requests
+	StreamSilence time.Duration // silence after which a stream is considered dead
 }
 
-// Resolved is what applies to one request: its class and organisation with the
-// winning rule applied.
+// Resolved holds the settings of one request: those of its class and organisation,
+// overridden by the winning rule.
 type Resolved struct {
 	Organisation string
 	Class        string
--- a/settings/unit.go
+++ b/settings/unit.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// suffix is a unit written behind a number.
+// suffix is a unit after a number.
 type suffix struct {
 	text  string
 	scale int64
@@ -20,20 +20,20 @@
 	giga = 1000 * mega
 )
 
-// countSuffixes are the units of token counts; sizeSuffixes those of bytes. The
-// longer ones come first, since "MB" also ends in "B".
+// countSuffixes are the units of counts, sizeSuffixes those of bytes. Longer units
+// come first, since "MB" also ends in "B".
 var (
 	countSuffixes = []suffix{{"k", kilo}, {"M", mega}}
 	sizeSuffixes  = []suffix{{"kB", kilo}, {"MB", mega}, {"GB", giga}, {"B", 1}}
 )
 
-// duration is a Go duration between two bounds.
-func duration(least, most time.Duration) value[time.Duration] {
+// duration accepts a Go duration between two bounds.
+func duration(minimum, maximum time.Duration) value[time.Duration] {
 	return value[time.Duration]{
-		allowed: fmt.Sprintf("a duration such as 250ms, 30s or 2h, from %s to %s", least, most),
+		allowed: fmt.Sprintf("a duration such as 250ms, 30s or 2h, from %s to %s", minimum, maximum),
 		parse: func(text string) (time.Duration, error) {
 			d, err := time.ParseDuration(text)
-			if err != nil || d < least || d > most {
+			if err != nil || d < minimum || d > maximum {
 				return 0, errNotAllowed
 			}
 			return d, nil
@@ -41,13 +41,13 @@
 	}
 }
 
-// count is a number of tokens, requests or the like between two bounds.
-func count(least, most int) value[int] {
+// count accepts a number of tokens, requests or similar between two bounds.
+func count(minimum, maximum int) value[int] {
 	return value[int]{
-		allowed: fmt.Sprintf("a count such as 500, 4k or 1M, from %d to %d", least, most),
+		allowed: fmt.Sprintf("a count such as 500, 4k or 1M, from %d to %d", minimum, maximum),
 		parse: func(text string) (int, error) {
 			n, err := parseScaled(text, countSuffixes, false)
-			if err != nil || n < int64(least) || n > int64(most) {
+			if err != nil || n < int64(minimum) || n > int64(maximum) {
 				return 0, errNotAllowed
 			}
 			return int(n), nil
@@ -55,25 +55,25 @@
 	}
 }
 
-// rate is a count for each second, which need not be whole.
-func rate(most float64) value[float64] {
+// rate accepts a count per second, which may be fractional.
+func rate(maximum float64) value[float64] {
 	return value[float64]{
-		allowed: fmt.Sprintf("a rate a second such as 500, 4k or 1.5M, from 0 to %.0f", most),
+		allowed: fmt.Sprintf("a rate a second such as 500, 4k or 1.5M, from 0 to %.0f", maximum),
 		parse: func(text string) (float64, error) {
 			digits, scale := cutSuffix(text, countSuffixes)
-			n, err := parseNumber(digits, 0, most/float64(scale))
+			n, err := parseNumber(digits, 0, maximum/float64(scale))
 			return n * float64(scale), err
 		},
 	}
 }
 
-// size is a number of bytes between two bounds.
-func size(least, most int64) value[int64] {
+// size accepts a number of bytes between two bounds.
+func size(minimum, maximum int64) value[int64] {
 	return value[int64]{
-		allowed: fmt.Sprintf("a size such as 512kB or 64MB, from %d to %d bytes", least, most),
+		allowed: fmt.Sprintf("a size such as 512kB or 64MB, from %d to %d bytes", minimum, maximum),
 		parse: func(text string) (int64, error) {
 			n, err := parseScaled(text, sizeSuffixes, true)
-			if err != nil || n < least || n > most {
+			if err != nil || n < minimum || n > maximum {
 				return 0, errNotAllowed
 			}
 			return n, nil
@@ -81,8 +81,7 @@
 	}
 }
 
-// parseScaled reads digits with a unit; the unit may be left out unless it is
-// required.
+// parseScaled parses digits with a unit, which is optional unless required is set.
 func parseScaled(text string, suffixes []suffix, required bool) (int64, error) {
 	digits, scale := cutSuffix(text, suffixes)
 	if required && digits == text {
--- a/settings/value.go
+++ b/settings/value.go
@@ -8,17 +8,17 @@
 	"strings"
 )
 
-// errNotAllowed is returned by parsers when the text does not fit; the fault
-// then names what is allowed.
+// errNotAllowed is returned by parsers for invalid text; the fault then lists the
+// allowed values.
 var errNotAllowed = errors.New("value is not allowed")
 
-// value is one kind of value: how it is parsed and what is allowed.
+// value is a type of value: its parser and a description of what it allows.
 type value[V any] struct {
 	allowed string
 	parse   func(text string) (V, error)
 }
 
-// boolean is true or false and nothing else.
+// boolean accepts only true and false.
 func boolean() value[bool] {
 	return value[bool]{
 		allowed: "true or false",
@@ -34,23 +34,23 @@
 	}
 }
 
-// number is a decimal number between two bounds.
-func number(least, most float64) value[float64] {
+// number accepts a decimal number between two bounds.
+func number(minimum, maximum float64) value[float64] {
 	return value[float64]{
-		allowed: fmt.Sprintf("a number from %g to %g", least, most),
+		allowed: fmt.Sprintf("a number from %g to %g", minimum, maximum),
 		parse: func(text string) (float64, error) {
-			return parseNumber(text, least, most)
+			return parseNumber(text, minimum, maximum)
 		},
 	}
 }
 
-// integer is a whole number between two bounds.
-func integer(least, most int) value[int] {
+// integer accepts a whole number between two bounds.
+func integer(minimum, maximum int) value[int] {
 	return value[int]{
-		allowed: fmt.Sprintf("a whole number from %d to %d", least, most),
+		allowed: fmt.Sprintf("a whole number from %d to %d", minimum, maximum),
 		parse: func(text string) (int, error) {
 			n, err := strconv.Atoi(text)
-			if err != nil || n < least || n > most {
+			if err != nil || n < minimum || n > maximum {
 				return 0, errNotAllowed
 			}
 			return n, nil
@@ -58,18 +58,18 @@
 	}
 }
 
-// parseNumber refuses what ParseFloat takes besides decimal numbers: not-a-number
-// compares false with every bound and would switch off a limit without a word.
-func parseNumber(text string, least, most float64) (float64, error) {
+// parseNumber rejects the NaN that ParseFloat accepts: NaN compares false with
+// every bound and would silently disable a limit.
+func parseNumber(text string, minimum, maximum float64) (float64, error) {
 	n, err := strconv.ParseFloat(text, 64)
-	inside := n >= least && n <= most
+	inside := n >= minimum && n <= maximum
 	if err != nil || !inside {
 		return 0, errNotAllowed
 	}
 	return n, nil
 }
 
-// oneOf is one of a few words.
+// oneOf accepts one of the given words.
 func oneOf(words ...string) value[string] {
 	return value[string]{
 		allowed: "one of " + strings.Join(words, ", "),
@@ -84,7 +84,7 @@
 	}
 }
 
-// text is a string that matches a pattern.
+// text accepts a string that matches a pattern.
 func text(allowed string, pattern *regexp.Regexp) value[string] {
 	return value[string]{
 		allowed: allowed,
@@ -97,7 +97,7 @@
 	}
 }
 
-// list is a comma-separated list, possibly empty.
+// list accepts a comma-separated list, possibly empty.
 func list[V any](item value[V]) value[[]V] {
 	return value[[]V]{
 		allowed: "a comma-separated list, each " + item.allowed,
@@ -119,7 +119,7 @@
 	}
 }
 
-// optional is a value that overrides another one only where it is given.
+// optional wraps a value so that nil means not set.
 func optional[V any](v value[V]) value[*V] {
 	return value[*V]{
 		allowed: v.allowed,
