--- a/cli/adapter.go
+++ b/cli/adapter.go
@@ -9,7 +9,7 @@
 	"celeryport/platform"
 )
 
-// platformAdapter connects an instance to the protocols of the platform.
+// platformAdapter returns the adapter for the platform's protocols.
 func platformAdapter() *instance.Adapter {
 	return &instance.Adapter{
 		Dialect:       platform.Dialect{},
--- a/cli/addresses.go
+++ b/cli/addresses.go
@@ -18,7 +18,7 @@
 	addressesTimeout = 3 * time.Second
 )
 
-// addressList is the answer of pathAddresses.
+// addressList is the response of pathAddresses.
 type addressList struct {
 	Addresses []struct {
 		Address          string `json:"address"`
@@ -27,13 +27,13 @@
 	KeepSeconds int `json:"keep_seconds"`
 }
 
-// addressesCommand asks as a caller which addresses to use.
+// addressesCommand fetches the address list that callers get.
 func addressesCommand(stdout, _ io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "addresses",
-		Usage: "show which addresses callers are given",
+		Usage: "show the addresses that callers are given",
 		Flags: []urfave.Flag{
-			&urfave.StringSliceFlag{Name: flagTo, Usage: "traffic addresses to try in turn, separated by commas", Required: true},
+			&urfave.StringSliceFlag{Name: flagTo, Usage: "comma-separated traffic addresses, tried in order", Required: true},
 			outputFlag(outputTable, outputJSON),
 		},
 		Action: func(_ context.Context, c *urfave.Command) error {
@@ -49,7 +49,7 @@
 	}
 }
 
-// firstAddresses returns the answer of the first instance that gives one.
+// firstAddresses returns the list of the first address that responds.
 func firstAddresses(addresses []string) (*addressList, error) {
 	var failed error
 	for _, address := range addresses {
--- a/cli/bench.go
+++ b/cli/bench.go
@@ -12,11 +12,11 @@
 	"celeryport/bench"
 )
 
-// benchCommand measures the decisions on a virtual clock.
+// benchCommand benchmarks scheduling decisions on a virtual clock.
 func benchCommand(stdout, _ io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "bench",
-		Usage: "measure admission, routing and queueing beside the naive baseline, on a virtual clock",
+		Usage: "benchmark admission, routing and queueing against a naive baseline, on a virtual clock",
 		Flags: []urfave.Flag{
 			&urfave.StringFlag{Name: "row", Usage: "only rows whose name contains `TEXT`, such as aretusa/80% or engine-dies"},
 			&urfave.IntFlag{Name: "seeds", Value: 3, Usage: "runs of each row"},
@@ -62,12 +62,12 @@
 	} else {
 		bench.WriteTable(stdout, measured)
 	}
-	return failedBars(bars)
+	return checkBars(bars)
 }
 
-// failedBars fails the command when a figure misses its bar: a script that runs it
-// would otherwise take the miss for a pass.
-func failedBars(bars []bench.Bar) error {
+// checkBars returns an error if any figure misses its threshold, so that scripts
+// can rely on the exit code.
+func checkBars(bars []bench.Bar) error {
 	failed := 0
 	for _, bar := range bars {
 		if !bar.Pass {
--- a/cli/bench_test.go
+++ b/cli/bench_test.go
@@ -9,13 +9,13 @@
 )
 
 func TestMissedBarFailsTheCommand(t *testing.T) {
-	// A change makes short prompts slower than the bar allows. If the command still
-	// ended well, a script that compares versions would let the change pass.
-	if err := failedBars([]bench.Bar{{Pass: true}, {Pass: true}}); err != nil {
-		t.Errorf("all bars hold, and the command fails: %v", err)
+	// Guards against exit code 0 after a missed threshold, which would let a
+	// regression pass in scripts that compare versions.
+	if err := checkBars([]bench.Bar{{Pass: true}, {Pass: true}}); err != nil {
+		t.Errorf("all thresholds met, but the command fails: %v", err)
 	}
 	var exit *ExitError
-	if err := failedBars([]bench.Bar{{Pass: true}, {Pass: false}}); !errors.As(err, &exit) || exit.Code != ExitFailed {
-		t.Errorf("a bar is missed, and the command ends with %v", err)
+	if err := checkBars([]bench.Bar{{Pass: true}, {Pass: false}}); !errors.As(err, &exit) || exit.Code != ExitFailed {
+		t.Errorf("a threshold is missed, but the command returns %v", err)
 	}
 }
--- a/cli/commands.go
+++ b/cli/commands.go
@@ -6,7 +6,7 @@
 	urfave "github.com/urfave/cli/v3"
 )
 
-// commands lists the commands; each has a file of its own.
+// commands returns all top-level commands.
 func commands(stdout, stderr io.Writer) []*urfave.Command {
 	return []*urfave.Command{
 		serveCommand(stdout, stderr),
--- a/cli/docs_test.go
+++ b/cli/docs_test.go
@@ -12,13 +12,13 @@
 	urfave "github.com/urfave/cli/v3"
 )
 
-// shownCommand is a command line in a page: alone on an indented line, or inside
-// a line between backquotes.
-var shownCommand = regexp.MustCompile("(?m)(?:^    |`)(?:bin/)?celeryport ([^`\n]*)")
+// commandPattern matches a command line in a page, either on an indented line of its
+// own or between backquotes.
+var commandPattern = regexp.MustCompile("(?m)(?:^    |`)(?:bin/)?celeryport ([^`\n]*)")
 
-// An operator copies a command from a page while something is on fire. One whose
-// name or flag has changed since costs the minutes that matter.
-func TestCommandsInThePagesExist(t *testing.T) {
+// Guards against pages with commands or flags that no longer exist, which operators
+// would copy during an incident.
+func TestDocumentedCommandsExist(t *testing.T) {
 	pages, err := filepath.Glob("../docs/*.md")
 	if err != nil || len(pages) == 0 {
 		t.Fatalf("no pages: %v", err)
@@ -34,17 +34,17 @@
 			t.Fatal(err)
 		}
 		joined := strings.ReplaceAll(string(text), "\\\n", " ")
-		for _, match := range shownCommand.FindAllStringSubmatch(joined, -1) {
+		for _, match := range commandPattern.FindAllStringSubmatch(joined, -1) {
 			found++
-			checkShown(t, root, filepath.Base(page), strings.Fields(match[1]))
+			checkCommand(t, root, filepath.Base(page), strings.Fields(match[1]))
 		}
 	}
 	if found == 0 {
-		t.Error("no page shows any command")
+		t.Error("no command found in any page")
 	}
 }
 
-func checkShown(t *testing.T, root *urfave.Command, page string, words []string) {
+func checkCommand(t *testing.T, root *urfave.Command, page string, words []string) {
 	t.Helper()
 	command := root
 	for _, word := range words {
--- a/cli/events.go
+++ b/cli/events.go
@@ -10,7 +10,7 @@
 	"celeryport/event"
 )
 
-// eventsCommand prints the catalogue of log events.
+// eventsCommand prints the catalogue of log events, docs/EVENTS.md.
 func eventsCommand(stdout io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "events",
--- a/cli/events_test.go
+++ b/cli/events_test.go
@@ -8,13 +8,13 @@
 )
 
 func TestEventCatalogueIsCurrent(t *testing.T) {
-	// Someone adds or changes a log event and forgets the catalogue. Whoever is on
-	// call looks the number up and finds nothing, or something untrue.
+	// Guards against log events that are added or changed without regenerating the
+	// catalogue, in which operators look up the event numbers.
 	page, err := os.ReadFile("../docs/EVENTS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if string(page) != event.Document() {
-		t.Error("docs/EVENTS.md differs from the code; write it anew: bin/celeryport events > docs/EVENTS.md")
+		t.Error("docs/EVENTS.md is out of date; regenerate it: bin/celeryport events > docs/EVENTS.md")
 	}
 }
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -14,14 +14,14 @@
 
 const flagLog = "log"
 
-// explainCommand says what became of one call, from logs alone.
+// explainCommand reconstructs the outcome of one call from logs.
 func explainCommand(stdout, stderr io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:      "explain",
-		Usage:     "say what became of one forwarded call, from the logs of any instances",
+		Usage:     "explain the outcome of one forwarded call, from the logs of any instances",
 		ArgsUsage: "CALL-ID",
 		Flags: []urfave.Flag{
-			&urfave.StringSliceFlag{Name: flagLog, Usage: "log `FILE`; may be given again; without it standard input is read"},
+			&urfave.StringSliceFlag{Name: flagLog, Usage: "log `FILE`; repeatable; default: standard input"},
 		},
 		Action: func(_ context.Context, c *urfave.Command) error {
 			if c.Args().Len() != 1 {
@@ -32,13 +32,13 @@
 				return &ExitError{Code: ExitUsage, Err: err}
 			}
 			if unread > 0 {
-				fmt.Fprintf(stderr, "celeryport: %d lines are no whole log lines and were passed over\n", unread)
+				fmt.Fprintf(stderr, "celeryport: skipped %d lines that are not complete log lines\n", unread)
 			}
 			story, found := explain.Tell(lines, c.Args().First())
 			if !found {
 				return errors.Newf("none of %d log lines names the call %s; it did not reach these instances, or their logs are not whole", len(lines), story.Call)
 			}
-			tell(stdout, &story)
+			printStory(stdout, &story)
 			return nil
 		},
 	}
@@ -70,21 +70,21 @@
 	return lines, unread, errors.CombineErrors(err, file.Close())
 }
 
-func tell(out io.Writer, story *explain.Story) {
+func printStory(out io.Writer, story *explain.Story) {
 	fmt.Fprintln(out, story.Cause)
 	for _, l := range story.Lines {
-		fmt.Fprintf(out, "  %s  %s  %d %s  %v\n", l.At.Format("15:04:05.000"), l.Instance, l.Event, l.Message, shown(l))
+		fmt.Fprintf(out, "  %s  %s  %d %s  %v\n", l.At.Format("15:04:05.000"), l.Instance, l.Event, l.Message, extraFields(l))
 	}
 	if len(story.Upstream) > 0 {
 		fmt.Fprintln(out, "about the upstreams that it was sent to:")
 	}
 	for _, l := range story.Upstream {
-		fmt.Fprintf(out, "  %s  %s  %d %s  %v\n", l.At.Format("15:04:05.000"), l.Instance, l.Event, l.Message, shown(l))
+		fmt.Fprintf(out, "  %s  %s  %d %s  %v\n", l.At.Format("15:04:05.000"), l.Instance, l.Event, l.Message, extraFields(l))
 	}
 }
 
-// shown leaves out what stands on each line anyhow.
-func shown(l explain.Line) map[string]any {
+// extraFields returns the fields of a line except those that are printed for every line.
+func extraFields(l explain.Line) map[string]any {
 	fields := map[string]any{}
 	for name, value := range l.Fields {
 		switch name {
--- a/cli/freeze_process_test.go
+++ b/cli/freeze_process_test.go
@@ -19,27 +19,27 @@
 	}
 }
 
-// askedAhead is how many questions wait for a frozen process.
-const askedAhead = 16
+// queuedRequests is the number of requests that wait for a frozen process.
+const queuedRequests = 16
 
-// askAhead asks a frozen process for the settings. The questions wait in its
-// sockets and are the first that it sees when it wakes.
-func (f *processFleet) askAhead(frozen int) <-chan control.SettingsStatus {
-	answers := make(chan control.SettingsStatus, askedAhead)
+// queueRequests requests the settings from a frozen process. The requests wait in its
+// sockets and are the first that it reads when it resumes.
+func (f *processFleet) queueRequests(frozen int) <-chan control.SettingsStatus {
+	answers := make(chan control.SettingsStatus, queuedRequests)
 	var sent sync.WaitGroup
-	for range askedAhead {
+	for range queuedRequests {
 		sent.Add(1)
 		go func() {
-			noted := sync.OnceFunc(sent.Done)
+			notify := sync.OnceFunc(sent.Done)
 			dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
-				return &notingConn{conn, noted}, err
+				return &notifyingConn{conn, notify}, err
 			}
 			clients := rpc.NewClients(operatorSecret, dial)
 			defer clients.Close()
 			o := operator{addresses: []string{f.control[frozen]}, clients: clients, timeout: processTimeout}
 			var status control.SettingsStatus
-			if err := o.ask(f.t.Context(), control.CommandShow, nil, &status); err != nil {
+			if err := o.call(f.t.Context(), control.CommandShow, nil, &status); err != nil {
 				f.t.Error(err)
 			}
 			answers <- status
@@ -49,21 +49,21 @@
 	return answers
 }
 
-// notingConn notes when something was sent.
-type notingConn struct {
+// notifyingConn calls sent after each write.
+type notifyingConn struct {
 	net.Conn
 	sent func()
 }
 
-func (c *notingConn) Write(p []byte) (int, error) {
+func (c *notifyingConn) Write(p []byte) (int, error) {
 	defer c.sent()
 	return c.Conn.Write(p)
 }
 
-func TestFrozenLeaderWakesAsAFollower(t *testing.T) {
-	// The leader's process is frozen, for instance by its machine's memory running
-	// short, and wakes after the others have elected a new leader and accepted a
-	// change. Asked first of all, it must not answer out of its old memory.
+func TestResumedLeaderServesNoOutdatedState(t *testing.T) {
+	// The leader's process is frozen, for instance by memory pressure, and resumes
+	// after the others elected a new leader and accepted a change. The first requests
+	// that it reads must not be answered from its outdated state.
 	t.Parallel()
 	f := startProcessFleet(t, 3, 0)
 	first, code := f.apply(0, "first", 1)
@@ -76,11 +76,11 @@
 	if code != ExitDone {
 		t.Fatalf("apply beside a frozen leader: exit %d, %+v", code, second)
 	}
-	answers := f.askAhead(frozen)
+	answers := f.queueRequests(frozen)
 	f.signal(frozen, syscall.SIGCONT)
-	for range askedAhead {
+	for range queuedRequests {
 		if status := <-answers; status.Accepted.Number != second.Outcome.Revision {
-			t.Fatalf("the woken leader says %d is accepted, %d is", status.Accepted.Number, second.Outcome.Revision)
+			t.Fatalf("resumed leader reports accepted revision %d, want %d", status.Accepted.Number, second.Outcome.Revision)
 		}
 	}
 	f.awaitAgreement(second.Outcome.Revision)
--- a/cli/instances.go
+++ b/cli/instances.go
@@ -11,14 +11,14 @@
 	"celeryport/control"
 )
 
-// timeFormat is how times are printed for operators.
+// timeFormat is the format of times in the output of operators' commands.
 const timeFormat = time.RFC3339
 
-// instancesCommand lists the instances of a fleet.
+// instancesCommand lists the instances of the fleet.
 func instancesCommand(stdout, _ io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "instances",
-		Usage: "list the instances with state, zone and confirmed settings revision",
+		Usage: "list the instances with their state, zone and confirmed settings revision",
 		Flags: operatorFlags(),
 		Action: func(ctx context.Context, c *urfave.Command) error {
 			o, err := newOperator(c)
@@ -26,8 +26,8 @@
 				return err
 			}
 			var status control.InstancesStatus
-			if err := o.ask(ctx, control.CommandInstances, nil, &status); err != nil {
-				return readOnly(err)
+			if err := o.call(ctx, control.CommandInstances, nil, &status); err != nil {
+				return readOnlyError(err)
 			}
 			if c.String(outputName) == outputJSON {
 				return writeJSON(stdout, status)
--- a/cli/load.go
+++ b/cli/load.go
@@ -18,35 +18,35 @@
 
 const defaultLoadDuration = 30 * time.Second
 
-// errPromiseBroken ends a run of load in which a promise to callers was broken.
-var errPromiseBroken = errors.New("requests were lost, doubled, crossed or untruly refused, or that is unknown")
+// errGuaranteeBroken is the error of a load run that found a broken guarantee.
+var errGuaranteeBroken = errors.New("requests were lost, doubled, crossed or untruly refused, or that is unknown")
 
-// loadCommand sends a mix of requests and judges the answers.
+// loadCommand generates load and verifies every answer.
 func loadCommand(stdout, stderr io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:     "load",
 		Usage:    "send the requests of a deployment's callers and check every answer",
 		Commands: []*urfave.Command{loadCompareCommand(stdout)},
 		Flags: []urfave.Flag{
-			&urfave.StringSliceFlag{Name: "to", Usage: "entry instances that the callers know at first"},
+			&urfave.StringSliceFlag{Name: "to", Usage: "addresses of entry instances that callers know initially"},
 			&urfave.StringFlag{Name: "keys", Usage: "file of lines ORGANISATION=KEY"},
 			&urfave.StringFlag{Name: "mix", Usage: "aretusa or brazos", Value: "aretusa"},
-			&urfave.StringSliceFlag{Name: "class", Usage: "only these classes of the mix"},
-			&urfave.StringFlag{Name: flagModel, Usage: "model to ask instead of the mix's own"},
-			&urfave.StringFlag{Name: flagService, Usage: "service to call instead of the mix's own"},
-			&urfave.FloatFlag{Name: "rate", Usage: "requests a second", Value: load.DefaultRate},
-			&urfave.DurationFlag{Name: "duration", Usage: "send for so long", Value: defaultLoadDuration},
-			&urfave.IntFlag{Name: "requests", Usage: "send so many at most; 0: no limit but the duration"},
-			&urfave.Uint64Flag{Name: "seed", Usage: "seed of lengths, order and gaps", Value: 1},
-			&urfave.StringFlag{Name: flagZone, Usage: "availability zone of the callers, preferred among the addresses"},
-			&urfave.FloatFlag{Name: "deadline-scale", Usage: "times the deadlines of the classes, for stand-ins with a time scale", Value: 1},
-			&urfave.DurationFlag{Name: "grace", Usage: "a request without an end so long after its deadline is lost", Value: load.DefaultGrace},
-			&urfave.IntFlag{Name: "most-in-flight", Usage: "above it requests are not sent but counted as unsent", Value: load.DefaultMostInFlight},
-			&urfave.IntFlag{Name: "engine-memory", Usage: "memory of one engine in tokens, for the table", Value: load.DefaultEngineMemory},
-			&urfave.IntFlag{Name: "resend-one-in", Usage: "make one in so many calls with a key twice at once; 0: none"},
-			&urfave.IntFlag{Name: "no-repeat-one-in", Usage: "mark one in so many prompts as not to be repeated; 0: none"},
-			&urfave.StringSliceFlag{Name: "counts-from", Usage: "stand-in services to ask what they executed"},
-			&urfave.StringFlag{Name: "counts-key-file", Usage: "file with the key for asking them"},
+			&urfave.StringSliceFlag{Name: "class", Usage: "restrict the mix to these classes"},
+			&urfave.StringFlag{Name: flagModel, Usage: "model to use instead of that of the mix"},
+			&urfave.StringFlag{Name: flagService, Usage: "service to call instead of that of the mix"},
+			&urfave.FloatFlag{Name: "rate", Usage: "requests per second", Value: load.DefaultRate},
+			&urfave.DurationFlag{Name: "duration", Usage: "how long to send", Value: defaultLoadDuration},
+			&urfave.IntFlag{Name: "requests", Usage: "maximum number of requests; 0: limited only by the duration"},
+			&urfave.Uint64Flag{Name: "seed", Usage: "seed of the random lengths, order and gaps", Value: 1},
+			&urfave.StringFlag{Name: flagZone, Usage: "availability zone of the callers, whose addresses are preferred"},
+			&urfave.FloatFlag{Name: "deadline-scale", Usage: "factor on the deadlines of the classes, for stand-ins with a time scale", Value: 1},
+			&urfave.DurationFlag{Name: "grace", Usage: "how long after its deadline a request without a final answer counts as lost", Value: load.DefaultGrace},
+			&urfave.IntFlag{Name: "most-in-flight", Usage: "maximum concurrent requests; further ones are not sent but counted as unsent", Value: load.DefaultMostInFlight},
+			&urfave.IntFlag{Name: "engine-memory", Usage: "memory of one engine in tokens, for the table of results", Value: load.DefaultEngineMemory},
+			&urfave.IntFlag{Name: "resend-one-in", Usage: "send one in `N` calls with an idempotency key twice concurrently; 0: none"},
+			&urfave.IntFlag{Name: "no-repeat-one-in", Usage: "mark one in `N` prompts as not to be repeated; 0: none"},
+			&urfave.StringSliceFlag{Name: "counts-from", Usage: "stand-in services to query for their execution counts"},
+			&urfave.StringFlag{Name: "counts-key-file", Usage: "file with the key for these queries"},
 			&urfave.StringFlag{Name: "output", Usage: "table or json", Value: "table"},
 		},
 		Action: func(ctx context.Context, c *urfave.Command) error { return runLoad(ctx, c, stdout, stderr) },
@@ -72,7 +72,7 @@
 		return &ExitError{Code: ExitFailed, Err: err}
 	}
 	if report.Bad() {
-		return &ExitError{Code: ExitFailed, Err: errPromiseBroken}
+		return &ExitError{Code: ExitFailed, Err: errGuaranteeBroken}
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 }
 
 func loadOptions(c *urfave.Command) (load.Options, error) {
-	// Not marked as required, since "load compare" needs neither.
+	// The flags are not marked as required, since "load compare" needs neither.
 	if len(c.StringSlice("to")) == 0 || c.String("keys") == "" {
 		return load.Options{}, usageError("--to and --keys are required")
 	}
--- a/cli/load_compare.go
+++ b/cli/load_compare.go
@@ -14,14 +14,14 @@
 	"celeryport/load"
 )
 
-// errReportDiffers ends a comparison that found the report untrue.
+// errReportDiffers is the error of a comparison that contradicts the report.
 var errReportDiffers = errors.New("the report says what its callers contradict")
 
-// loadCompareCommand checks a report of the system against a run of load.
+// loadCompareCommand checks a usage report against the results of a load run.
 func loadCompareCommand(stdout io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:      "compare",
-		Usage:     "check a report (report --output json) against the only run (load --output json) in its time",
+		Usage:     "check a report (report --output json) against the only load run (load --output json) in its period",
 		ArgsUsage: "RUN REPORT",
 		Action: func(_ context.Context, c *urfave.Command) error {
 			return runLoadCompare(c, stdout)
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// flagLossesJSON asks for the tables as JSON.
+	// flagLossesJSON selects JSON output.
 	flagLossesJSON = "json"
-	// flagLossesDocument names the platform's settings document, for the law of the engines.
+	// flagLossesDocument is the platform's settings document, which holds the performance model of the engines.
 	flagLossesDocument = "document"
 )
 
-// lossesCommand says where answers in time were lost, from logs alone.
+// lossesCommand attributes late and failed calls to causes, from logs.
 func lossesCommand(stdout, stderr io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:      "losses",
-		Usage:     "say which forwarded calls were not answered in time, by route, cause and moment, from the logs of all instances",
+		Usage:     "report which forwarded calls were not answered in time, by route, cause and moment, from the logs of all instances",
 		ArgsUsage: "LOG...",
 		Flags: []urfave.Flag{
 			&urfave.BoolFlag{Name: flagLossesJSON, Usage: "print JSON"},
-			&urfave.StringFlag{Name: flagLossesDocument, Usage: "settings document `FILE` of the platform: print what engine time allowed instead"},
+			&urfave.StringFlag{Name: flagLossesDocument, Usage: "settings document `FILE` of the platform; prints the achievable rates per route instead"},
 		},
 		Action: func(_ context.Context, c *urfave.Command) error {
 			lines, unread, err := readLogs(c.Args().Slice())
@@ -38,10 +38,10 @@
 				return &ExitError{Code: ExitUsage, Err: err}
 			}
 			if unread > 0 {
-				fmt.Fprintf(stderr, "celeryport: %d lines are no whole log lines and were passed over\n", unread)
+				fmt.Fprintf(stderr, "celeryport: skipped %d lines that are not complete log lines\n", unread)
 			}
 			if file := c.String(flagLossesDocument); file != "" {
-				return reachFrom(stdout, lines, file, c.Bool(flagLossesJSON))
+				return printReach(stdout, lines, file, c.Bool(flagLossesJSON))
 			}
 			table := losses.Of(lines)
 			if c.Bool(flagLossesJSON) {
@@ -52,8 +52,8 @@
 	}
 }
 
-// reachFrom prints what each route with prompts was served in time, and what could have been.
-func reachFrom(out io.Writer, lines []explain.Line, file string, asJSON bool) error {
+// printReach prints, for each route with prompts, the rate of answers in time and the achievable rate.
+func printReach(out io.Writer, lines []explain.Line, file string, asJSON bool) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return &ExitError{Code: ExitUsage, Err: errors.Wrap(err, "read the settings document")}
@@ -72,7 +72,7 @@
 	}
 	var rows [][]string
 	for _, r := range reach {
-		rows = append(rows, []string{r.Route, strconv.Itoa(r.Calls), inPercent(r.Reached), inPercent(r.Reachable)})
+		rows = append(rows, []string{r.Route, strconv.Itoa(r.Calls), formatPercent(r.Reached), formatPercent(r.Reachable)})
 	}
 	return writeTable(out, []string{"route", "calls", "in time %", "reachable %"}, rows)
 }
@@ -85,25 +85,25 @@
 	var rows [][]string
 	for i := range table.Routes {
 		o := &table.Routes[i]
-		row := []string{o.Route, strconv.Itoa(o.Calls), strconv.Itoa(int(o.Prompt)), "(owed)", "", inPercent(o.Lost)}
-		rows = append(rows, append(row, percents(o.ByMoment)...))
+		row := []string{o.Route, strconv.Itoa(o.Calls), strconv.Itoa(int(o.Prompt)), "(owed)", "", formatPercent(o.Lost)}
+		rows = append(rows, append(row, formatPercents(o.ByMoment)...))
 		for j := range table.Rows {
 			r := &table.Rows[j]
 			if r.Route == o.Route {
-				row := []string{"", "", "", string(r.Cause), strconv.Itoa(r.Calls), inPercent(r.Lost)}
-				rows = append(rows, append(row, percents(r.ByMoment)...))
+				row := []string{"", "", "", string(r.Cause), strconv.Itoa(r.Calls), formatPercent(r.Lost)}
+				rows = append(rows, append(row, formatPercents(r.ByMoment)...))
 			}
 		}
 	}
 	return writeTable(out, heading, rows)
 }
 
-func percents(by map[losses.Moment]float64) []string {
+func formatPercents(by map[losses.Moment]float64) []string {
 	cells := make([]string, 0, len(losses.Moments()))
 	for _, m := range losses.Moments() {
-		cells = append(cells, inPercent(by[m]))
+		cells = append(cells, formatPercent(by[m]))
 	}
 	return cells
 }
 
-func inPercent(share float64) string { return strconv.FormatFloat(100*share, 'f', 1, 64) }
+func formatPercent(share float64) string { return strconv.FormatFloat(100*share, 'f', 1, 64) }
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -15,7 +15,7 @@
 	"celeryport/verdict"
 )
 
-// The flags of every operator's command.
+// Flags of all operators' commands.
 const (
 	flagTo      = "to"
 	flagKeyFile = "key-file"
@@ -25,25 +25,25 @@
 
 const (
 	defaultTimeout = 15 * time.Second
-	askTimeout     = 6 * time.Second // of one attempt, above what an instance takes at most
-	askPause       = 200 * time.Millisecond
+	attemptTimeout = 6 * time.Second // per attempt, longer than an instance takes to answer
+	retryPause     = 200 * time.Millisecond
 )
 
-// operatorFlags returns the common flags and those of one command.
-func operatorFlags(own ...urfave.Flag) []urfave.Flag {
-	return connectFlags(append([]urfave.Flag{outputFlag(outputTable, outputJSON)}, own...)...)
+// operatorFlags returns the common flags and the given flags of one command.
+func operatorFlags(extra ...urfave.Flag) []urfave.Flag {
+	return connectFlags(append([]urfave.Flag{outputFlag(outputTable, outputJSON)}, extra...)...)
 }
 
-// connectFlags is operatorFlags for a command with other forms of output.
-func connectFlags(own ...urfave.Flag) []urfave.Flag {
+// connectFlags is operatorFlags for commands with their own --output flag.
+func connectFlags(extra ...urfave.Flag) []urfave.Flag {
 	return append([]urfave.Flag{
-		&urfave.StringSliceFlag{Name: flagTo, Usage: "control addresses to try in turn, separated by commas", Required: true},
-		&urfave.StringFlag{Name: flagKeyFile, Usage: "file with the operator key; without it $" + keyVariable},
-		&urfave.DurationFlag{Name: flagTimeout, Usage: "how long to go on trying", Value: defaultTimeout},
-	}, own...)
+		&urfave.StringSliceFlag{Name: flagTo, Usage: "comma-separated control addresses, tried in order", Required: true},
+		&urfave.StringFlag{Name: flagKeyFile, Usage: "file with the operator key; default: the key in $" + keyVariable},
+		&urfave.DurationFlag{Name: flagTimeout, Usage: "how long to keep trying", Value: defaultTimeout},
+	}, extra...)
 }
 
-// operator sends commands to a fleet.
+// operator sends operators' commands to the fleet.
 type operator struct {
 	addresses []string
 	clients   *rpc.Clients
@@ -62,8 +62,8 @@
 	}, nil
 }
 
-// operatorKey reads the key from a file or the environment, never from an
-// argument, which other users of the machine could read.
+// operatorKey reads the key from a file or the environment. It can't be given as
+// an argument, since other users of the machine can read arguments.
 func operatorKey(file string) (string, error) {
 	if file != "" {
 		data, err := os.ReadFile(file)
@@ -76,11 +76,11 @@
 	return key, nil
 }
 
-// ask sends a command to one address after the other until one answers or the
-// time is over. Every command may be sent again: orders carry an id, and the
-// rest reads or goes on where it stopped. If any attempt may have been executed
-// and none was answered, the outcome is unknown.
-func (o *operator) ask(ctx context.Context, command string, request, response any) error {
+// call sends a command to the addresses in turn until one answers or the timeout
+// expires. Commands can be retried safely: orders carry an id, and other commands
+// only read or resume where they stopped. If no attempt was answered and one may
+// have been executed, the outcome is unknown.
+func (o *operator) call(ctx context.Context, command string, request, response any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return errors.Wrap(err, "encode the command")
@@ -94,22 +94,22 @@
 			return nil
 		}
 		if final(failed) {
-			return exitOf(failed)
+			return withExitCode(failed)
 		}
 		if failed.Verdict != verdict.NotRun {
 			unknown = failed
 		}
-		if !clock.Pause(ctx, askPause) {
+		if !clock.Pause(ctx, retryPause) {
 			if unknown != nil {
-				return exitOf(unknown)
+				return withExitCode(unknown)
 			}
-			return exitOf(failed)
+			return withExitCode(failed)
 		}
 	}
 }
 
-// round tries each address once. It returns nil after an answer, and otherwise
-// the failure that leaves most open.
+// round tries each address once. It returns nil after an answer, otherwise a
+// failure whose outcome is unknown, if there is one.
 func (o *operator) round(ctx context.Context, command string, body []byte, response any) *verdict.Error {
 	var worst *verdict.Error
 	for _, address := range o.addresses {
@@ -125,7 +125,7 @@
 }
 
 func (o *operator) attempt(ctx context.Context, address, command string, body []byte, response any) *verdict.Error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	answer, err := o.clients.At(address).Operate(ctx, &rpc.OperateRequest{Command: command, Body: body})
 	if err != nil {
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// final reports whether no other instance would answer otherwise.
+// final reports whether every instance would return the same error.
 func final(e *verdict.Error) bool {
 	switch e.Reason {
 	case verdict.ReasonBadRequest, verdict.ReasonUnauthorized, verdict.ReasonNotFound:
@@ -147,8 +147,8 @@
 	}
 }
 
-// exitOf gives an error its exit code.
-func exitOf(e *verdict.Error) error {
+// withExitCode wraps an error with its exit code.
+func withExitCode(e *verdict.Error) error {
 	switch {
 	case e.Reason == verdict.ReasonBadRequest, e.Reason == verdict.ReasonUnauthorized:
 		return &ExitError{Code: ExitUsage, Err: e}
--- a/cli/order.go
+++ b/cli/order.go
@@ -10,14 +10,14 @@
 	"celeryport/control"
 )
 
-// orderCommand groups the commands on engine orders.
+// orderCommand groups the commands about engine orders.
 func orderCommand(stdout, _ io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "order",
-		Usage: "see the orders to engines",
+		Usage: "inspect the orders sent to engines",
 		Commands: []*urfave.Command{{
 			Name:  "list",
-			Usage: "list the orders of the present issuer, oldest first",
+			Usage: "list the orders of the current issuer, oldest first",
 			Flags: operatorFlags(),
 			Action: func(ctx context.Context, c *urfave.Command) error {
 				o, err := newOperator(c)
@@ -25,8 +25,8 @@
 					return err
 				}
 				var status control.OrdersStatus
-				if err := o.ask(ctx, control.CommandOrders, nil, &status); err != nil {
-					return readOnly(err)
+				if err := o.call(ctx, control.CommandOrders, nil, &status); err != nil {
+					return readOnlyError(err)
 				}
 				if c.String(outputName) == outputJSON {
 					return writeJSON(stdout, status)
--- a/cli/output.go
+++ b/cli/output.go
@@ -8,7 +8,7 @@
 	urfave "github.com/urfave/cli/v3"
 )
 
-// The forms in which commands print their results.
+// Output formats of commands.
 const (
 	outputName  = "output"
 	outputTable = "table"
@@ -17,15 +17,15 @@
 	outputHTML  = "html"
 )
 
-// outputFlag returns the --output flag; the first form is the default.
-func outputFlag(forms ...string) urfave.Flag {
+// outputFlag returns the --output flag; the first format is the default.
+func outputFlag(formats ...string) urfave.Flag {
 	return &urfave.StringFlag{
 		Name:  outputName,
-		Usage: "form of the output: " + strings.Join(forms, ", "),
-		Value: forms[0],
+		Usage: "output format: " + strings.Join(formats, ", "),
+		Value: formats[0],
 		Validator: func(form string) error {
-			if !slices.Contains(forms, form) {
-				return errors.Newf("%q is none of %s", form, strings.Join(forms, ", "))
+			if !slices.Contains(formats, form) {
+				return errors.Newf("%q is none of %s", form, strings.Join(formats, ", "))
 			}
 			return nil
 		},
--- a/cli/ports.go
+++ b/cli/ports.go
@@ -12,21 +12,21 @@
 
 const flagCount = "count"
 
-// portsCommand prints free loopback addresses, for scripts that must write the
-// addresses of processes into settings before they start them.
+// portsCommand prints free loopback addresses, for scripts that write the
+// addresses of processes into settings before they start the processes.
 func portsCommand(stdout io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "ports",
-		Usage: "print free loopback addresses, one a line",
-		Flags: []urfave.Flag{&urfave.IntFlag{Name: flagCount, Value: 1, Usage: "how `MANY`"}},
+		Usage: "print free loopback addresses, one per line",
+		Flags: []urfave.Flag{&urfave.IntFlag{Name: flagCount, Value: 1, Usage: "number of addresses"}},
 		Action: func(_ context.Context, c *urfave.Command) error {
 			return printFreeAddresses(stdout, c.Int(flagCount))
 		},
 	}
 }
 
-// printFreeAddresses holds all listeners until the last is open, so that no
-// address is printed twice, and leaves each port reserved for whoever names it.
+// printFreeAddresses keeps all listeners open until the last one is, so that no
+// address is printed twice, and reserves each port; see reservePort.
 func printFreeAddresses(stdout io.Writer, count int) error {
 	for range count {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,12 +42,12 @@
 	return nil
 }
 
-// reservePort leaves a connection in TIME-WAIT at the listener's port, which the
-// kernel keeps for a minute. Until then it gives the port neither to a listener that
-// names none nor to an outgoing connection, while one that names it gets it.
-// Without that, a process that lets the kernel choose takes the port of one that is
-// still starting: that one ends, since its address is in use, and callers that expect
-// it meet a stranger's answers.
+// reservePort leaves a connection in TIME-WAIT on the listener's port for about a
+// minute. During that time the kernel does not assign the port to listeners on port
+// 0 or to outgoing connections, but a listener can bind to it explicitly. Otherwise
+// another process could get the port of one that is still starting: the starting
+// process would fail with "address in use", and its callers would reach the other
+// process.
 func reservePort(listener net.Listener) error {
 	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
@@ -58,7 +58,7 @@
 	if err != nil {
 		return errors.Wrap(err, "accept")
 	}
-	if err := server.Close(); err != nil { // the side that closes first waits
+	if err := server.Close(); err != nil { // the side that closes first enters TIME-WAIT
 		return errors.Wrap(err, "close the accepted connection")
 	}
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
--- a/cli/ports_test.go
+++ b/cli/ports_test.go
@@ -9,27 +9,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// A fleet is given free addresses and starts its processes one after the other. Until
-// a process listens, another program that lets the kernel choose a port may be given
-// that very one. The process then ends, and operators get answers of a stranger at its
-// address for as long as that one runs.
+// Guards against a printed address that the kernel assigns to another program before
+// the process it is meant for listens there. The process would then fail to start, and
+// its clients would reach the other program.
 func TestFreeAddressesStayReserved(t *testing.T) {
 	for _, address := range freeAddresses(t, 3) {
 		if taken, err := listenInRangeOf(address); err == nil {
 			_ = taken.Close()
-			t.Errorf("the kernel gave %s to a listener that named no port", address)
+			t.Errorf("the kernel assigned %s to a listener on port 0", address)
 		}
 		named, err := net.Listen("tcp", address)
 		if err != nil {
-			t.Errorf("who names %s does not get it: %v", address, err)
+			t.Errorf("can't listen on %s explicitly: %v", address, err)
 			continue
 		}
 		_ = named.Close()
 	}
 }
 
-// listenInRangeOf listens at a port that the kernel chooses, out of the one port of the
-// address.
+// listenInRangeOf listens on a port chosen by the kernel, with a port range that holds
+// only the port of the address.
 func listenInRangeOf(address string) (net.Listener, error) {
 	at, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
--- a/cli/process_fleet_test.go
+++ b/cli/process_fleet_test.go
@@ -18,8 +18,8 @@
 	operatorSecret = "process-operator-key"
 )
 
-// processFleet is a set of real processes of the product on loopback. The first
-// of its instances are voters.
+// processFleet is a set of celeryport processes on loopback. The first instances
+// are voters.
 type processFleet struct {
 	t         *testing.T
 	binary    string
@@ -29,7 +29,7 @@
 	processes []*exec.Cmd // the instances, nil: not running
 }
 
-// run executes the binary and returns its output and exit code.
+// run executes the binary and returns its combined output and exit code.
 func (f *processFleet) run(args ...string) (string, int) {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(f.t.Context(), processTimeout)
@@ -54,7 +54,7 @@
 	return path
 }
 
-// start begins process i and ends it with the test.
+// start starts process i and kills it at the end of the test.
 func (f *processFleet) start(i int) {
 	f.t.Helper()
 	command := exec.Command(f.binary, "serve", "--settings", filepath.Join(f.folder, fmt.Sprintf("v%d.ini", i)))
@@ -65,7 +65,7 @@
 	f.t.Cleanup(func() { f.kill(i) })
 }
 
-// kill ends process i at once, without a chance to say goodbye.
+// kill kills process i without a graceful shutdown.
 func (f *processFleet) kill(i int) {
 	if f.processes[i] == nil {
 		return
@@ -96,7 +96,7 @@
 	return f
 }
 
-// process returns the settings of an instance.
+// process returns the process settings of instance i.
 func (f *processFleet) process(i int, voter bool, group string) string {
 	disk := ""
 	if voter {
@@ -119,7 +119,7 @@
 `, i, disk, f.traffic[i], f.control[i], group)
 }
 
-// background starts another command of the binary and ends it with the test.
+// background starts a command of the binary and kills it at the end of the test.
 func (f *processFleet) background(args ...string) *exec.Cmd {
 	f.t.Helper()
 	command := exec.Command(f.binary, args...)
@@ -143,7 +143,7 @@
 	for !condition() {
 		select {
 		case <-ctx.Done():
-			f.t.Fatalf("never happened: %s", what)
+			f.t.Fatalf("timeout waiting for: %s", what)
 		case <-ticker.C:
 		}
 	}
--- a/cli/process_setup_test.go
+++ b/cli/process_setup_test.go
@@ -18,7 +18,7 @@
 	return binary
 }
 
-// freeAddresses returns addresses that stay reserved until processes listen there.
+// freeAddresses returns addresses that stay reserved until processes listen on them.
 func freeAddresses(t *testing.T, count int) []string {
 	t.Helper()
 	var printed bytes.Buffer
--- a/cli/promises_test.go
+++ b/cli/promises_test.go
@@ -11,8 +11,8 @@
 var testName = regexp.MustCompile(`\bTest[A-Z][A-Za-z0-9]*`)
 
 func TestPromisesNameTestsThatExist(t *testing.T) {
-	// A test is renamed or taken out, and the page on promises goes on naming it as
-	// the proof. Whoever trusts the page trusts nothing.
+	// Guards against tests that are renamed or removed while the page on promises
+	// still cites them as proof.
 	page, err := os.ReadFile("../docs/PROMISES.md")
 	if err != nil {
 		t.Fatal(err)
@@ -20,7 +20,7 @@
 	known := declaredTests(t)
 	for _, name := range testName.FindAllString(string(page), -1) {
 		if !known[name] {
-			t.Errorf("docs/PROMISES.md names %s, which is not there", name)
+			t.Errorf("docs/PROMISES.md names %s, which does not exist", name)
 		}
 	}
 }
--- a/cli/quarantine.go
+++ b/cli/quarantine.go
@@ -14,15 +14,15 @@
 
 const flagRequest = "request"
 
-// quarantineCommand groups the commands on requests that crash upstreams.
+// quarantineCommand groups the commands about requests that crash upstreams.
 func quarantineCommand(stdout, _ io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "quarantine",
-		Usage: "list and release requests that crash the upstreams which run them",
+		Usage: "list and release requests that crash upstreams",
 		Commands: []*urfave.Command{
 			{
 				Name:  "list",
-				Usage: "list the suspected and quarantined requests, those with the oldest evidence first",
+				Usage: "list the suspected and quarantined requests, oldest evidence first",
 				Flags: operatorFlags(),
 				Action: func(ctx context.Context, c *urfave.Command) error {
 					return listQuarantine(ctx, c, stdout)
@@ -30,7 +30,7 @@
 			},
 			{
 				Name:  "release",
-				Usage: "drop the evidence against a request, so that it is served again",
+				Usage: "discard the evidence against a request, so that it is served again",
 				Flags: operatorFlags(&urfave.StringFlag{Name: flagRequest, Usage: "fingerprint of the request, from quarantine list", Required: true}),
 				Action: func(ctx context.Context, c *urfave.Command) error {
 					return releaseQuarantined(ctx, c, stdout)
@@ -46,8 +46,8 @@
 		return err
 	}
 	var status control.QuarantineStatus
-	if err := o.ask(ctx, control.CommandQuarantineList, nil, &status); err != nil {
-		return readOnly(err)
+	if err := o.call(ctx, control.CommandQuarantineList, nil, &status); err != nil {
+		return readOnlyError(err)
 	}
 	if c.String(outputName) == outputJSON {
 		return writeJSON(stdout, status)
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	if err := o.ask(ctx, control.CommandQuarantineRelease, control.ReleaseRequest{Request: request}, &control.ReleaseRequest{}); err != nil {
+	if err := o.call(ctx, control.CommandQuarantineRelease, control.ReleaseRequest{Request: request}, &control.ReleaseRequest{}); err != nil {
 		return err
 	}
 	fmt.Fprintf(stdout, "released %s\n", request)
--- a/cli/reload.go
+++ b/cli/reload.go
@@ -15,18 +15,19 @@
 )
 
 var (
-	eventReloaded = event.Define(1110, logrus.InfoLevel, "process settings read again",
-		"The file of the process settings changed. The addresses of the control group are taken over; other changes need a restart. Fields: voters.")
-	eventReloadFailed = event.Define(1111, logrus.ErrorLevel, "process settings not taken over",
-		"The file of the process settings changed and can't be read or has a fault; the instance goes on with the former ones. Fields: error.")
+	eventReloaded = event.Define(1110, logrus.InfoLevel, "process settings reloaded",
+		"The file of the process settings changed. The addresses of the control group are applied; other changes require a restart. Fields: voters.")
+	eventReloadFailed = event.Define(1111, logrus.ErrorLevel, "process settings not reloaded",
+		"The file of the process settings changed, but can't be read or has a fault; the instance keeps the previous settings. Fields: error.")
 )
 
-// reloadInterval is how often the file is looked at. It may change without a
-// signal, and the addresses in it are of use only while those before them are.
+// reloadInterval is the polling interval of the file, which may change without a
+// signal. New addresses must be read while instances at the old ones can still be
+// reached.
 const reloadInterval = time.Second
 
-// watchSettings sends the process settings each time that the file changed, until
-// ctx ends. A hang-up signal makes it look at once.
+// watchSettings sends the process settings after each change of the file, until
+// ctx ends. SIGHUP triggers an immediate check.
 func watchSettings(ctx context.Context, path string, log logrus.FieldLogger) <-chan *settings.Process {
 	changes := make(chan *settings.Process)
 	hangUp := make(chan os.Signal, 1)
@@ -48,7 +49,7 @@
 			}
 			text, err := os.ReadFile(path)
 			if err != nil || bytes.Equal(text, known) {
-				continue // a file that is just being replaced is there at the next look
+				continue // a file that is being replaced is readable at the next check
 			}
 			known = text
 			process, err := settings.ParseProcess(path, text)
--- a/cli/reload_test.go
+++ b/cli/reload_test.go
@@ -25,10 +25,10 @@
 [voters]
 s0 = `
 
-func TestHangUpReadsTheSettingsAgain(t *testing.T) {
-	// All addresses that an instance knew of the control group have been exchanged.
-	// If a hang-up signal ended the process, or did nothing, the instance would be
-	// gone or would ask dead addresses for ever.
+func TestSIGHUPReloadsSettings(t *testing.T) {
+	// All control group addresses that an instance knows have been replaced. Guards
+	// against a SIGHUP that ends the process, or that is ignored, so that the instance
+	// keeps connecting to dead addresses.
 	path := filepath.Join(t.TempDir(), "process.ini")
 	write := func(voter string) {
 		if err := os.WriteFile(path, []byte(reloadedSettings+voter+"\n"), 0o600); err != nil {
@@ -48,7 +48,7 @@
 	if p := <-changes; len(p.Voters) != 1 || p.Voters[0].Address != "127.0.0.1:4" {
 		t.Errorf("voters %v", p.Voters)
 	}
-	write("nonsense") // must be passed over
+	write("nonsense") // must be ignored
 	write("127.0.0.1:5")
 	if p := <-changes; p.Voters[0].Address != "127.0.0.1:5" {
 		t.Errorf("voters %v after a faulty file", p.Voters)
--- a/cli/replace_process_test.go
+++ b/cli/replace_process_test.go
@@ -11,7 +11,7 @@
 	"celeryport/control"
 )
 
-// operate runs an operator's command and decodes its JSON.
+// operate runs an operator's command and decodes its JSON output.
 func (f *processFleet) operate(result any, args ...string) {
 	f.t.Helper()
 	args = append(args, "--to", strings.Join(f.control, ","), "--output", "json")
@@ -22,9 +22,9 @@
 }
 
 func TestLostDiskIsReplacedByOneCommand(t *testing.T) {
-	// A voter's disk dies. The operator puts in an empty one and replaces the voter
-	// by itself, as the page says; right after that another voter dies. Accepted
-	// settings must still be there, and new ones be accepted.
+	// A voter loses its disk and is replaced with "voter replace", as documented for
+	// operators; then another voter dies. Accepted settings must survive, and new ones
+	// must be accepted.
 	t.Parallel()
 	f := startProcessFleet(t, 3, 0)
 	first, code := f.apply(0, "first", 1)
--- a/cli/report.go
+++ b/cli/report.go
@@ -12,19 +12,19 @@
 	"celeryport/ledger"
 )
 
-// The flags that restrict a report.
+// Flags that filter a report.
 const (
 	flagSince        = "since"
 	flagOrganisation = "organisation"
 	flagClass        = "class"
 )
 
-// reportCommand prints who got what.
+// reportCommand prints the usage report.
 func reportCommand(stdout, _ io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "report",
-		Usage: "report what was received, served, refused and failed, by organisation, class and service",
-		Flags: connectFlags(append(restrictFlags(), outputFlag(outputTable, outputJSON, outputCSV))...),
+		Usage: "report how many requests were received, served, refused and failed, by organisation, class and service",
+		Flags: connectFlags(append(filterFlags(), outputFlag(outputTable, outputJSON, outputCSV))...),
 		Action: func(ctx context.Context, c *urfave.Command) error {
 			query, err := reportQuery(c, time.Now())
 			if err != nil {
@@ -35,19 +35,19 @@
 				return err
 			}
 			var report ledger.Report
-			if err := o.ask(ctx, accounting.CommandReport, query, &report); err != nil {
-				return readOnly(err)
+			if err := o.call(ctx, accounting.CommandReport, query, &report); err != nil {
+				return readOnlyError(err)
 			}
 			return printReport(stdout, &report, c.String(outputName))
 		},
 	}
 }
 
-func restrictFlags() []urfave.Flag {
+func filterFlags() []urfave.Flag {
 	return []urfave.Flag{
-		&urfave.StringFlag{Name: flagSince, Usage: "a duration back from now, such as 30m, or a time such as 2026-03-01T09:00:00Z"},
-		&urfave.StringFlag{Name: flagOrganisation, Usage: "only this organisation and those below it"},
-		&urfave.StringFlag{Name: flagClass, Usage: "only this class and those below it"},
+		&urfave.StringFlag{Name: flagSince, Usage: "start of the period: a duration before now, such as 30m, or a time such as 2026-03-01T09:00:00Z"},
+		&urfave.StringFlag{Name: flagOrganisation, Usage: "only this organisation and its descendants"},
+		&urfave.StringFlag{Name: flagClass, Usage: "only this class and its descendants"},
 	}
 }
 
@@ -71,8 +71,8 @@
 	return at, errors.Wrap(err, "--"+flagSince+" is neither a duration nor a time")
 }
 
-func printReport(stdout io.Writer, report *ledger.Report, form string) error {
-	switch form {
+func printReport(stdout io.Writer, report *ledger.Report, format string) error {
+	switch format {
 	case outputJSON:
 		return writeJSON(stdout, report)
 	case outputCSV:
--- a/cli/report_process_test.go
+++ b/cli/report_process_test.go
@@ -28,7 +28,7 @@
 	killAtLine      = 3 // the load tool prints a line each second
 )
 
-// reportFleet is a whole site as processes on loopback.
+// reportFleet is a complete site of processes on loopback.
 type reportFleet struct {
 	t       *testing.T
 	binary  string
@@ -107,7 +107,7 @@
 	f.start(fmt.Sprint("instance-", i), "serve", "--settings", f.path(fmt.Sprintf("%d.ini", i)))
 }
 
-// kill ends a process at once, without a chance to copy anything.
+// kill kills a process before it can copy its counters.
 func (f *reportFleet) kill(name string) {
 	if command := f.running[name]; command != nil {
 		_ = command.Process.Kill()
@@ -116,7 +116,7 @@
 	}
 }
 
-// load runs the load tool and calls atLine for each line of its progress.
+// load runs the load tool and calls atLine for each line of its progress output.
 func (f *reportFleet) load(seed int, atLine func(line int)) load.Report {
 	f.t.Helper()
 	command := exec.Command(f.binary, "load", "--to", strings.Join(f.traffic, ","), "--keys", "../examples/aretusa/callers.keys",
@@ -134,7 +134,7 @@
 	for n := 1; lines.Scan(); n++ {
 		atLine(n)
 	}
-	_ = command.Wait() // a lost answer is an exit code; the report has it too
+	_ = command.Wait() // the exit code reports lost answers; the report includes them
 	var report load.Report
 	if err := json.Unmarshal(out.Bytes(), &report); err != nil {
 		f.t.Fatalf("%v: %s", err, out.String())
@@ -152,7 +152,7 @@
 	return report
 }
 
-// executed counts what the upstreams wrote into their journals as answered whole.
+// executed counts the executions that the upstreams' journals record as complete.
 func (f *reportFleet) executed() uint64 {
 	f.t.Helper()
 	var whole uint64
@@ -178,13 +178,13 @@
 	return whole
 }
 
-// dump asks one instance for its account and its book.
+// dump fetches the counters of one instance and its copies of those of others.
 func (f *reportFleet) dump(i int) *ledger.Dump {
 	f.t.Helper()
 	o := operator{addresses: f.control[i : i+1], clients: rpc.NewClients(operatorSecret, nil), timeout: processTimeout}
 	defer o.clients.Close()
 	var answer struct{ Own, Book []byte }
-	if err := o.ask(f.t.Context(), "ledger-dump", nil, &answer); err != nil {
+	if err := o.call(f.t.Context(), "ledger-dump", nil, &answer); err != nil {
 		f.t.Fatal(err)
 	}
 	dump, err := ledger.DecodeDump(time.Now(), answer.Own, answer.Book)
@@ -194,12 +194,12 @@
 	return dump
 }
 
-// awaitCopied waits until the first voter has all that an instance has counted.
+// awaitCopied waits until the first voter has a copy of all counters of an instance.
 func (f *reportFleet) awaitCopied(i int) {
 	f.t.Helper()
 	own := f.dump(i).Own
 	if len(own.Series) == 0 {
-		f.t.Fatal("the instance has counted nothing")
+		f.t.Fatal("the instance has no counters")
 	}
 	deadline := time.Now().Add(processTimeout)
 	for time.Now().Before(deadline) {
@@ -210,10 +210,10 @@
 	f.t.Fatal("the counters were never copied to a voter")
 }
 
-// A site runs as processes, and the load tool and the upstreams count for
-// themselves. Without a failure the report has to equal their counts. Then an
-// instance is killed under load: its last seconds are lost, and a report that
-// only showed less would make operators bill and plan by numbers that are wrong.
+// The report is compared with the counts of the load tool and the upstreams. Without
+// a failure they must be equal. Then an instance is killed under load, which loses the
+// counts of its last seconds: the report must say so, since operators would otherwise
+// bill and plan by wrong numbers.
 func TestReportAgainstOthersCounts(t *testing.T) {
 	f := newReportFleet(t)
 	code, _, stderr := run("settings", "apply", "--to", strings.Join(f.control, ","), "--file", "../examples/aretusa/tree.ini",
@@ -228,7 +228,7 @@
 			got.Received, first.Tries, got.Served, first.All.Served, f.executed())
 	}
 	if len(report.Unknown)+len(report.MissingBooks) > 0 {
-		t.Errorf("unknown without a failure: %+v %v", report.Unknown, report.MissingBooks)
+		t.Errorf("unknown counts without a failure: %+v %v", report.Unknown, report.MissingBooks)
 	}
 
 	const victim = reportInstances - 1
@@ -242,8 +242,8 @@
 	f.compareAfterRestart(victim)
 }
 
-// compareAfterRestart kills whatever still runs and starts the voters again: a
-// report must not depend on any process that has run.
+// compareAfterRestart kills all remaining instances and restarts the voters. The
+// report must not depend on the state of a running process.
 func (f *reportFleet) compareAfterRestart(victim int) {
 	f.t.Helper()
 	for i := range victim {
@@ -261,7 +261,7 @@
 		f.t.Errorf("before the restart %+v\nafter %+v", before, after.Total)
 	}
 	if len(after.Unknown) != reportInstances {
-		f.t.Errorf("%d killed instances are called unknown instead of %d", len(after.Unknown), reportInstances)
+		f.t.Errorf("%d killed instances reported as unknown, want %d", len(after.Unknown), reportInstances)
 	}
 }
 
@@ -270,7 +270,7 @@
 	total := report.Total
 	served := uint64(first.All.Served + second.All.Served)
 	if !total.Balanced() || total.Served > served || int(total.Received) > first.Tries+second.Tries {
-		f.t.Errorf("more than anyone saw, or not balanced: %+v", total)
+		f.t.Errorf("counts exceed those of the callers, or are not balanced: %+v", total)
 	}
 	if total.Served < uint64(first.All.Served) {
 		f.t.Errorf("%d served, fewer than before the kill", total.Served)
--- a/cli/report_test.go
+++ b/cli/report_test.go
@@ -18,7 +18,7 @@
 	"celeryport/verdict"
 )
 
-// cannedInstance answers operators with fixed reports.
+// cannedInstance answers operators' commands with fixed reports.
 type cannedInstance struct {
 	rpc.Control
 	queries []ledger.Query
@@ -56,8 +56,8 @@
 	}
 }
 
-// serveCanned serves on a port of the kernel's choice, for operators with a key.
-func serveCanned(t *testing.T) (c *cannedInstance, address, keyFile string) {
+// serveCannedReports serves a cannedInstance on loopback and writes the operator key to a file.
+func serveCannedReports(t *testing.T) (c *cannedInstance, address, keyFile string) {
 	t.Helper()
 	c = &cannedInstance{}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,7 +77,7 @@
 }
 
 func TestReportAndBurn(t *testing.T) {
-	canned, address, keyFile := serveCanned(t)
+	canned, address, keyFile := serveCannedReports(t)
 	wrong := filepath.Join(t.TempDir(), "wrong.key")
 	if err := os.WriteFile(wrong, []byte("example-only-wrong-key"), 0o600); err != nil {
 		t.Fatal(err)
@@ -111,6 +111,6 @@
 	}
 	last := canned.queries[len(canned.queries)-1]
 	if last.Organisation != "atelier" || last.Class != "counter" || last.Since.IsZero() {
-		t.Errorf("the restrictions did not reach the instance: %+v", last)
+		t.Errorf("the instance did not receive the filters: %+v", last)
 	}
 }
--- a/cli/run.go
+++ b/cli/run.go
@@ -1,5 +1,5 @@
-// Package cli is the command line: it parses arguments, calls the library and
-// turns errors into exit codes.
+// Package cli implements the command line: it parses arguments, calls the other
+// packages and maps errors to exit codes.
 package cli
 
 import (
@@ -11,16 +11,16 @@
 	urfave "github.com/urfave/cli/v3"
 )
 
-// The exit codes of every command.
+// Exit codes of all commands.
 const (
 	ExitDone     = 0
-	ExitFailed   = 1 // failed, and nothing was run or changed
-	ExitUsage    = 2 // bad usage or settings
-	ExitConflict = 3 // another operator won
+	ExitFailed   = 1 // failed without any effect
+	ExitUsage    = 2 // invalid usage or settings
+	ExitConflict = 3 // another operator's order was applied first
 	ExitUnknown  = 4 // the outcome is unknown
 )
 
-// ExitError carries the exit code of a failed command.
+// ExitError is an error with the exit code of the command.
 type ExitError struct {
 	Code int
 	Err  error
@@ -29,21 +29,21 @@
 // Error implements error.
 func (e *ExitError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e *ExitError) Unwrap() error { return e.Err }
 
-// Run executes the command line and returns the exit code.
+// Run executes a command line and returns its exit code.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	app := &urfave.Command{
 		Name:      "celeryport",
-		Usage:     "serving layer for prompts of very unlike lengths",
+		Usage:     "serving layer for prompts of widely different lengths",
 		Writer:    stdout,
 		ErrWriter: stderr,
 		Commands:  commands(stdout, stderr),
 		ExitErrHandler: func(context.Context, *urfave.Command, error) {
 		},
 	}
-	reportUsage(app)
+	setUsageExitCode(app)
 	err := app.Run(ctx, args)
 	if err == nil {
 		return ExitDone
@@ -56,14 +56,14 @@
 	return ExitFailed
 }
 
-// reportUsage gives bad usage of the command, and of all below it, the exit code
-// of bad usage. The library doesn't hand OnUsageError down: without this, a
-// wrong flag of a subcommand would look like a failed run.
-func reportUsage(command *urfave.Command) {
+// setUsageExitCode makes usage errors of a command and all its subcommands exit with
+// ExitUsage. The library does not apply OnUsageError to subcommands, so an invalid
+// flag of a subcommand would otherwise exit with ExitFailed.
+func setUsageExitCode(command *urfave.Command) {
 	command.OnUsageError = func(_ context.Context, _ *urfave.Command, err error, _ bool) error {
 		return &ExitError{Code: ExitUsage, Err: err}
 	}
 	for _, sub := range command.Commands {
-		reportUsage(sub)
+		setUsageExitCode(sub)
 	}
 }
--- a/cli/serve.go
+++ b/cli/serve.go
@@ -18,14 +18,14 @@
 
 const flagSettings = "settings"
 
-// settingsVariable names the file of the process settings where no flag does.
+// settingsVariable is the environment variable with the path of the process settings, used if the flag is not given.
 const settingsVariable = "CELERYPORT_NODE_FILE"
 
-// serveCommand runs an entry instance.
+// serveCommand runs an instance.
 func serveCommand(stdout, stderr io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "serve",
-		Usage: "run an entry instance; SIGTERM shuts it down gracefully, a second one cuts off what is in flight",
+		Usage: "run an instance; SIGTERM shuts it down gracefully, a second SIGTERM aborts the requests in flight",
 		Flags: []urfave.Flag{
 			&urfave.StringFlag{
 				Name: flagSettings, Usage: "process settings `FILE`", Required: true,
@@ -54,21 +54,21 @@
 	return settings.ParseProcess(path, text)
 }
 
-// logTime has milliseconds: the lines of several instances are put in order by it.
-const logTime = "2006-01-02T15:04:05.000Z07:00"
+// logTimeFormat includes milliseconds, since lines of several instances are ordered by time.
+const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func newLog(out io.Writer, level string) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(out)
-	log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: logTime})
+	log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: logTimeFormat})
 	if parsed, err := logrus.ParseLevel(level); err == nil {
 		log.SetLevel(parsed)
 	}
 	return log
 }
 
-// serveForwarding runs an instance that forwards calls or takes part in control.
-// Its log goes to standard output, past a buffer that never makes a call wait.
+// serveForwarding runs an instance that forwards calls or serves control only. Its
+// log goes to standard output through a buffer that never blocks calls.
 func serveForwarding(ctx context.Context, path string, process *settings.Process, stdout io.Writer) error {
 	sink := logsink.New(stdout)
 	defer sink.Close()
@@ -83,10 +83,10 @@
 	})
 }
 
-// runInstance runs an instance until stop ends; cut bounds its shutdown.
+// runInstance runs an instance until stop ends; the end of cut aborts its graceful shutdown.
 type runInstance func(stop, cut context.Context, options instance.Options) error
 
-// serve turns signals into the two ends of a run.
+// serve runs an instance until a first signal; a second signal aborts the graceful shutdown.
 func serve(ctx context.Context, run runInstance, options instance.Options) error {
 	stop, first := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer first()
--- a/cli/settings.go
+++ b/cli/settings.go
@@ -6,8 +6,8 @@
 	urfave "github.com/urfave/cli/v3"
 )
 
-// settingsCommand groups the commands on settings files and on the tree in
-// force.
+// settingsCommand groups the commands about settings files and the settings tree
+// in force.
 func settingsCommand(stdout, stderr io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "settings",
--- a/cli/settings_apply.go
+++ b/cli/settings_apply.go
@@ -24,16 +24,16 @@
 	flagWait    = "wait"
 )
 
-// settingsApplyCommand replaces the settings tree of a fleet.
+// settingsApplyCommand replaces the settings tree of the fleet.
 func settingsApplyCommand(stdout, stderr io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "apply",
-		Usage: "replace the settings tree; of two orders with one base only one wins",
+		Usage: "replace the settings tree; of several orders on the same base only one succeeds",
 		Flags: operatorFlags(
 			&urfave.StringFlag{Name: flagFile, Usage: "file with the settings tree", Required: true},
-			&urfave.Uint64Flag{Name: flagBase, Usage: "revision that the file builds on; without it the accepted one, read first"},
-			&urfave.StringFlag{Name: flagOrderID, Usage: "id of the order; give the same one to send an order again"},
-			&urfave.DurationFlag{Name: flagWait, Usage: "wait so long for the revision to be in force everywhere"},
+			&urfave.Uint64Flag{Name: flagBase, Usage: "revision that the file is based on; default: the accepted revision"},
+			&urfave.StringFlag{Name: flagOrderID, Usage: "id of the order; reuse it to retry an order"},
+			&urfave.DurationFlag{Name: flagWait, Usage: "how long to wait until the revision is in force everywhere"},
 		),
 		Action: func(ctx context.Context, c *urfave.Command) error {
 			a := applier{stdout: stdout, stderr: stderr, output: c.String(outputName), wait: c.Duration(flagWait)}
@@ -42,7 +42,7 @@
 	}
 }
 
-// applier runs one settings apply.
+// applier executes one settings apply command.
 type applier struct {
 	stdout, stderr io.Writer
 	output         string
@@ -50,12 +50,12 @@
 	operator       *operator
 }
 
-// applied is the result in JSON.
+// applied is the JSON output.
 type applied struct {
 	OrderID string        `json:"order_id"`
 	Base    uint64        `json:"base"`
 	Outcome state.Outcome `json:"outcome"`
-	InForce bool          `json:"in_force"` // everywhere, as far as --wait waited
+	InForce bool          `json:"in_force"` // true if in force everywhere before --wait expired
 }
 
 func (a *applier) run(ctx context.Context, c *urfave.Command) error {
@@ -80,14 +80,14 @@
 		fmt.Fprintf(a.stderr, "order %s on base %d\n", request.OrderID, request.Base)
 	}
 	result := applied{OrderID: request.OrderID, Base: request.Base}
-	if err := a.operator.ask(ctx, control.CommandApply, request, &result.Outcome); err != nil {
+	if err := a.operator.call(ctx, control.CommandApply, request, &result.Outcome); err != nil {
 		return err
 	}
 	return a.report(ctx, result)
 }
 
-// newOrderID draws an id that carries its time, so that operators can tell old
-// orders in listings.
+// newOrderID returns a random id that includes its time, so that operators can
+// recognise old orders in listings.
 func newOrderID() (string, error) {
 	id, err := uuid.NewV7()
 	return id.String(), errors.Wrap(err, "draw an order id")
@@ -98,17 +98,17 @@
 		return c.Uint64(flagBase), nil
 	}
 	if c.IsSet(flagOrderID) {
-		// A resent order must build on the base of its first sending.
+		// A retried order must have the same base as the first attempt.
 		return 0, &ExitError{Code: ExitUsage, Err: errors.Newf("--%s needs --%s", flagOrderID, flagBase)}
 	}
 	var status control.SettingsStatus
-	err := a.operator.ask(ctx, control.CommandShow, nil, &status)
-	return status.Accepted.Number, readOnly(err)
+	err := a.operator.call(ctx, control.CommandShow, nil, &status)
+	return status.Accepted.Number, readOnlyError(err)
 }
 
 func (a *applier) report(ctx context.Context, result applied) error {
 	if result.Outcome.Kind == state.Accepted && a.wait > 0 {
-		result.InForce = a.inForce(ctx, result.Outcome.Revision)
+		result.InForce = a.awaitInForce(ctx, result.Outcome.Revision)
 	}
 	if err := a.print(&result); err != nil {
 		return err
@@ -130,16 +130,16 @@
 	}
 }
 
-// inForce waits until the revision, or a newer one, is in force everywhere.
-func (a *applier) inForce(ctx context.Context, revision uint64) bool {
+// awaitInForce waits until the revision or a newer one is in force everywhere, and reports whether it is.
+func (a *applier) awaitInForce(ctx context.Context, revision uint64) bool {
 	ctx, cancel := context.WithTimeout(ctx, a.wait)
 	defer cancel()
 	for {
 		var status control.SettingsStatus
-		if a.operator.ask(ctx, control.CommandShow, nil, &status) == nil && status.InForce >= revision {
+		if a.operator.call(ctx, control.CommandShow, nil, &status) == nil && status.InForce >= revision {
 			return true
 		}
-		if !clock.Pause(ctx, askPause) {
+		if !clock.Pause(ctx, retryPause) {
 			return false
 		}
 	}
@@ -162,9 +162,8 @@
 	return nil
 }
 
-// readOnly turns an unknown outcome of a command that changes nothing into a
-// plain failure.
-func readOnly(err error) error {
+// readOnlyError replaces ExitUnknown by ExitFailed for commands that change nothing.
+func readOnlyError(err error) error {
 	var exit *ExitError
 	if errors.As(err, &exit) && exit.Code == ExitUnknown {
 		return &ExitError{Code: ExitFailed, Err: exit.Err}
--- a/cli/settings_check.go
+++ b/cli/settings_check.go
@@ -13,19 +13,18 @@
 	"celeryport/settings"
 )
 
-// checkResult is what the check of one file found, in JSON.
+// checkResult is the result for one file, also in the JSON output.
 type checkResult struct {
 	File   string          `json:"file"`
 	Kind   string          `json:"kind"`
 	Faults settings.Faults `json:"faults"`
 }
 
-// settingsCheckCommand checks settings files of either kind without touching
-// anything else.
+// settingsCheckCommand validates settings files of both kinds offline.
 func settingsCheckCommand(stdout, _ io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:      "check",
-		Usage:     "check settings files, trees as well as process settings",
+		Usage:     "check settings files, both trees and process settings",
 		ArgsUsage: "FILE...",
 		Flags:     []urfave.Flag{outputFlag(outputTable, outputJSON)},
 		Action: func(_ context.Context, c *urfave.Command) error {
--- a/cli/settings_check_test.go
+++ b/cli/settings_check_test.go
@@ -40,7 +40,7 @@
 				t.Errorf("code %d\n%s%s", code, stdout, stderr)
 			}
 			if code != ExitDone && stderr == "" {
-				t.Error("nothing on the standard error")
+				t.Error("standard error is empty")
 			}
 		})
 	}
@@ -55,6 +55,6 @@
 		t.Errorf("%s", out.String())
 	}
 	if err := hashKey(strings.NewReader("\n"), &out); err == nil {
-		t.Error("an empty key has a hash")
+		t.Error("an empty key was hashed")
 	}
 }
--- a/cli/settings_document.go
+++ b/cli/settings_document.go
@@ -14,7 +14,7 @@
 func settingsDocumentCommand(stdout, _ io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "document",
-		Usage: "print the page of all settings",
+		Usage: "print the reference page of all settings, docs/SETTINGS.md",
 		Action: func(context.Context, *urfave.Command) error {
 			_, err := fmt.Fprint(stdout, settings.Document())
 			return err
--- a/cli/settings_hash_key.go
+++ b/cli/settings_hash_key.go
@@ -14,12 +14,12 @@
 	"celeryport/settings"
 )
 
-// settingsHashKeyCommand prints the hash of a caller's key. The key is read
-// from the standard input, since arguments show in process lists.
+// settingsHashKeyCommand prints the hash of a caller's key. The key is read from
+// standard input, since arguments are visible in process lists.
 func settingsHashKeyCommand(stdout, _ io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "hash-key",
-		Usage: "read a caller's key from the standard input and print its hash for key_sha256",
+		Usage: "read a caller's key from standard input and print its hash for key_sha256",
 		Action: func(context.Context, *urfave.Command) error {
 			return hashKey(os.Stdin, stdout)
 		},
--- a/cli/settings_show.go
+++ b/cli/settings_show.go
@@ -12,20 +12,20 @@
 
 const flagText = "text"
 
-// settingsShowCommand shows which settings are accepted and which are in force.
+// settingsShowCommand shows the accepted settings and whether they are in force.
 func settingsShowCommand(stdout, _ io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "show",
-		Usage: "show the accepted revision, the one in force everywhere, and the instances outstanding",
-		Flags: operatorFlags(&urfave.BoolFlag{Name: flagText, Usage: "print only the accepted settings text"}),
+		Usage: "show the accepted revision, the revision in force everywhere and the outstanding instances",
+		Flags: operatorFlags(&urfave.BoolFlag{Name: flagText, Usage: "print only the text of the accepted settings"}),
 		Action: func(ctx context.Context, c *urfave.Command) error {
 			o, err := newOperator(c)
 			if err != nil {
 				return err
 			}
 			var status control.SettingsStatus
-			if err := o.ask(ctx, control.CommandShow, nil, &status); err != nil {
-				return readOnly(err)
+			if err := o.call(ctx, control.CommandShow, nil, &status); err != nil {
+				return readOnlyError(err)
 			}
 			switch {
 			case c.Bool(flagText):
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -16,11 +16,11 @@
 	"celeryport/standin"
 )
 
-// standinCommand runs a stand-in upstream.
+// standinCommand groups the commands that run and inspect stand-in upstreams.
 func standinCommand(stdout, stderr io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "standin",
-		Usage: "run a stand-in of an upstream, for tests and demonstrations",
+		Usage: "run stand-in upstreams, for tests and demonstrations",
 		Commands: []*urfave.Command{
 			standinEngineCommand(stderr),
 			standinServiceCommand(stderr),
@@ -30,10 +30,10 @@
 	}
 }
 
-// finishTimeout bounds the graceful end of a stand-in.
-const finishTimeout = 10 * time.Minute
+// shutdownTimeout bounds the graceful shutdown of a stand-in.
+const shutdownTimeout = 10 * time.Minute
 
-// standinServer is what both stand-ins can do.
+// standinServer is the interface of both kinds of stand-ins.
 type standinServer interface {
 	Serve(ln net.Listener) error
 	Shutdown(ctx context.Context) error
@@ -41,10 +41,10 @@
 	Faults() *standin.Faults
 }
 
-// serveStandin serves until SIGTERM or an interrupt, then leaves gracefully; a
-// second signal ends at once.
+// serveStandin serves until SIGTERM or an interrupt, then shuts down gracefully; a
+// second signal ends it immediately.
 func serveStandin(ctx context.Context, c *urfave.Command, server standinServer) error {
-	if err := switchFaults(c, server.Faults()); err != nil {
+	if err := enableFaults(c, server.Faults()); err != nil {
 		return &ExitError{Code: ExitUsage, Err: err}
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
@@ -66,19 +66,19 @@
 	case <-ctx.Done():
 	}
 	stop()
-	return leaveStandin(server)
+	return shutDownStandin(server)
 }
 
-func leaveStandin(server standinServer) error {
-	limited, cancel := context.WithTimeout(context.Background(), finishTimeout)
+func shutDownStandin(server standinServer) error {
+	limited, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	second, stop := signal.NotifyContext(limited, syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	return server.Shutdown(second)
 }
 
-// switchFaults arms the faults of the flags.
-func switchFaults(c *urfave.Command, faults *standin.Faults) error {
+// enableFaults enables the faults given by flags.
+func enableFaults(c *urfave.Command, faults *standin.Faults) error {
 	for _, text := range c.StringSlice(flagFault) {
 		parsed, err := standin.ParseFault(text)
 		if err != nil {
@@ -91,14 +91,14 @@
 	return nil
 }
 
-// standinLog logs to stderr.
-func standinLog(stderr io.Writer) *logrus.Logger {
+// newStandinLog returns a logger to stderr.
+func newStandinLog(stderr io.Writer) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(stderr)
 	return log
 }
 
-// openJournal opens the journal for appending; an empty path is none.
+// openJournal opens the journal for appending; an empty path means no journal.
 func openJournal(path string) (*os.File, error) {
 	if path == "" {
 		return nil, nil
--- a/cli/standin_engine.go
+++ b/cli/standin_engine.go
@@ -11,7 +11,7 @@
 	"celeryport/upstream"
 )
 
-// The values of --fencing.
+// Values of --fencing.
 const (
 	fencingRefuse = "refuse"
 	fencingIgnore = "ignore"
@@ -21,22 +21,22 @@
 	d := enginemodel.DefaultConfig()
 	return &urfave.Command{
 		Name:  "engine",
-		Usage: "run a stand-in of a model engine",
+		Usage: "run a stand-in model engine",
 		Flags: append(standinFlags(),
-			&urfave.StringSliceFlag{Name: flagModel, Usage: "models that it has loaded", Value: []string{"modello-sarto"}},
-			&urfave.FloatFlag{Name: "time-scale", Usage: "run so many times faster than a real engine", Value: 1},
+			&urfave.StringSliceFlag{Name: flagModel, Usage: "models that are loaded", Value: []string{"modello-sarto"}},
+			&urfave.FloatFlag{Name: "time-scale", Usage: "speed-up over a real engine", Value: 1},
 			&urfave.IntFlag{Name: "memory-tokens", Usage: "KV memory in tokens", Value: d.MemoryTokens},
-			&urfave.FloatFlag{Name: "prefill-rate", Usage: "prompt tokens a second", Value: d.PrefillRate},
-			&urfave.IntFlag{Name: "chunk", Usage: "most prompt tokens of one iteration", Value: d.Chunk},
-			&urfave.DurationFlag{Name: "decode-step", Usage: "time of an iteration that only decodes", Value: d.DecodeStep},
-			&urfave.IntFlag{Name: "max-running", Usage: "most requests in one batch", Value: d.MaxRunning},
-			&urfave.IntFlag{Name: "cache-tokens", Usage: "memory that the prefix cache may use", Value: d.CacheTokens},
-			&urfave.DurationFlag{Name: "cache-lag", Usage: "delay of cache events, in the engine's time", Value: d.CacheLag},
-			&urfave.IntFlag{Name: "cache-loss-one-in", Usage: "lose one in so many cache events; 0: none"},
-			&urfave.DurationFlag{Name: "load-lag", Usage: "age of load reports, in the engine's time", Value: d.LoadLag},
-			&urfave.DurationFlag{Name: "heartbeat", Usage: "longest silence on an answer stream", Value: standin.DefaultHeartbeat},
-			&urfave.DurationFlag{Name: "resume-window", Usage: "keep work without a reader for so long", Value: standin.DefaultResumeWindow},
-			&urfave.StringFlag{Name: "fencing", Usage: "orders with an old fencing number: refuse or ignore (execute them)", Value: fencingRefuse},
+			&urfave.FloatFlag{Name: "prefill-rate", Usage: "prompt tokens per second", Value: d.PrefillRate},
+			&urfave.IntFlag{Name: "chunk", Usage: "maximum prompt tokens per iteration", Value: d.Chunk},
+			&urfave.DurationFlag{Name: "decode-step", Usage: "duration of an iteration that only decodes", Value: d.DecodeStep},
+			&urfave.IntFlag{Name: "max-running", Usage: "maximum requests per batch", Value: d.MaxRunning},
+			&urfave.IntFlag{Name: "cache-tokens", Usage: "maximum memory of the prefix cache, in tokens", Value: d.CacheTokens},
+			&urfave.DurationFlag{Name: "cache-lag", Usage: "delay of cache events, before scaling by time-scale", Value: d.CacheLag},
+			&urfave.IntFlag{Name: "cache-loss-one-in", Usage: "lose one in `N` cache events; 0: none"},
+			&urfave.DurationFlag{Name: "load-lag", Usage: "age of load reports, before scaling by time-scale", Value: d.LoadLag},
+			&urfave.DurationFlag{Name: "heartbeat", Usage: "maximum silence on an answer stream", Value: standin.DefaultHeartbeat},
+			&urfave.DurationFlag{Name: "resume-window", Usage: "how long to keep a request whose reader disconnected", Value: standin.DefaultResumeWindow},
+			&urfave.StringFlag{Name: "fencing", Usage: "handling of orders with an outdated fencing number: refuse, or ignore the number and execute them", Value: fencingRefuse},
 		),
 		Action: func(ctx context.Context, c *urfave.Command) error { return runStandinEngine(ctx, c, stderr) },
 	}
--- a/cli/standin_executions.go
+++ b/cli/standin_executions.go
@@ -13,14 +13,14 @@
 	"celeryport/standin"
 )
 
-// errDoubled ends a check of journals that found work done twice.
-var errDoubled = errors.New("work under one idempotency key began more than once")
+// errDuplicateExecution is the error of a check that found duplicate executions.
+var errDuplicateExecution = errors.New("work under one idempotency key began more than once")
 
-// standinExecutionsCommand looks for doubled work in the journals of stand-ins.
+// standinExecutionsCommand looks for duplicate executions in the journals of stand-ins.
 func standinExecutionsCommand(stdout io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:      "executions",
-		Usage:     "look for idempotency keys that began more than once, over the journals of all stand-ins",
+		Usage:     "find idempotency keys that were executed more than once, in the journals of all stand-ins",
 		ArgsUsage: "JOURNAL...",
 		Action: func(_ context.Context, c *urfave.Command) error {
 			if c.NArg() == 0 {
@@ -44,7 +44,7 @@
 	}
 	fmt.Fprintf(stdout, "%d keys, %d doubled\n", executions.Keys(), len(doubled))
 	if len(doubled) > 0 {
-		return &ExitError{Code: ExitFailed, Err: errDoubled}
+		return &ExitError{Code: ExitFailed, Err: errDuplicateExecution}
 	}
 	return nil
 }
--- a/cli/standin_flags.go
+++ b/cli/standin_flags.go
@@ -12,7 +12,7 @@
 	"celeryport/standin"
 )
 
-// The flags of both stand-ins.
+// Flags of the stand-ins.
 const (
 	flagName            = "name"
 	flagZone            = "availability-zone"
@@ -30,21 +30,21 @@
 
 func standinFlags() []urfave.Flag {
 	return []urfave.Flag{
-		&urfave.StringFlag{Name: flagName, Usage: "name that it announces", Required: true},
-		&urfave.StringFlag{Name: flagZone, Usage: "availability zone that it announces"},
-		&urfave.StringFlag{Name: flagListen, Usage: "address to listen on; port 0: the kernel chooses", Value: "127.0.0.1:0"},
-		&urfave.StringFlag{Name: flagAddressFile, Usage: "file that gets the address that it listens on"},
+		&urfave.StringFlag{Name: flagName, Usage: "announced name", Required: true},
+		&urfave.StringFlag{Name: flagZone, Usage: "announced availability zone"},
+		&urfave.StringFlag{Name: flagListen, Usage: "address to listen on; port 0: chosen by the kernel", Value: "127.0.0.1:0"},
+		&urfave.StringFlag{Name: flagAddressFile, Usage: "file to write the listening address to"},
 		&urfave.StringSliceFlag{Name: flagAnnounce, Usage: "entry instances to announce to"},
 		&urfave.StringFlag{Name: flagUpstreamKeyFile, Usage: "file with the key to announce with"},
-		&urfave.StringFlag{Name: flagEngineKeyFile, Usage: "file with the key that callers must present; none: all may call"},
-		&urfave.DurationFlag{Name: flagLeaveWait, Usage: "least time between announcing to leave and the end", Value: standin.DefaultLeaveWait},
-		&urfave.StringFlag{Name: flagJournal, Usage: "file that gets a JSON line for each execution and refusal"},
-		&urfave.StringSliceFlag{Name: flagFault, Usage: "fault to switch on, as NAME[:TIMES[:DELAY]], such as slow:3:500ms"},
+		&urfave.StringFlag{Name: flagEngineKeyFile, Usage: "file with the key that callers must present; default: no key is required"},
+		&urfave.DurationFlag{Name: flagLeaveWait, Usage: "minimum time between announcing the shutdown and the end", Value: standin.DefaultLeaveWait},
+		&urfave.StringFlag{Name: flagJournal, Usage: "file to append a JSON line to for each execution and refusal"},
+		&urfave.StringSliceFlag{Name: flagFault, Usage: "fault to enable, as NAME[:TIMES[:DELAY]], such as slow:3:500ms"},
 	}
 }
 
-// standinOptions reads the common flags. The returned function closes the
-// journal.
+// standinOptions returns the options from the common flags, and a function that
+// closes the journal.
 func standinOptions(c *urfave.Command, stderr io.Writer) (standin.Options, func(), error) {
 	none := func() {}
 	upstreamKey, err := readKey(c.String(flagUpstreamKeyFile))
@@ -62,7 +62,7 @@
 		Announce:         c.StringSlice(flagAnnounce),
 		UpstreamKey:      upstreamKey,
 		LeaveWait:        c.Duration(flagLeaveWait),
-		Log:              standinLog(stderr),
+		Log:              newStandinLog(stderr),
 	}
 	journal, err := openJournal(c.String(flagJournal))
 	if err != nil {
@@ -75,7 +75,7 @@
 	return options, func() { _ = journal.Close() }, nil
 }
 
-// readKey reads a key from the first line of a file; an empty path is no key.
+// readKey reads a key from the first line of a file; an empty path means no key.
 func readKey(path string) (string, error) {
 	if path == "" {
 		return "", nil
@@ -92,20 +92,20 @@
 	return key, nil
 }
 
-// writeAddress writes the address beside the file and renames it, so that a
-// script which waits for the file never reads half of it.
+// writeAddress writes the address to a temporary file and renames it, so that a
+// script that polls the file never reads a partial address.
 func writeAddress(path, address string) error {
 	if path == "" {
 		return nil
 	}
-	beside := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".new")
-	if err := os.WriteFile(beside, []byte(address+"\n"), 0o644); err != nil {
+	temporary := filepath.Join(filepath.Dir(path), "."+filepath.Base(path)+".new")
+	if err := os.WriteFile(temporary, []byte(address+"\n"), 0o644); err != nil {
 		return errors.Wrap(err, "write the address")
 	}
-	return errors.Wrap(os.Rename(beside, path), "write the address")
+	return errors.Wrap(os.Rename(temporary, path), "write the address")
 }
 
-// usageError returns an error that ends with ExitUsage.
+// usageError returns an error with exit code ExitUsage.
 func usageError(format string, args ...any) error {
 	return &ExitError{Code: ExitUsage, Err: errors.Newf(format, args...)}
 }
--- a/cli/standin_service.go
+++ b/cli/standin_service.go
@@ -12,11 +12,11 @@
 func standinServiceCommand(stderr io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "service",
-		Usage: "run a stand-in of a plain service that counts what it executes (GET /counts)",
+		Usage: "run a stand-in plain service that counts executions (GET /counts)",
 		Flags: append(standinFlags(),
 			&urfave.StringFlag{Name: flagService, Usage: "name of the service", Value: "cassa-bottega"},
-			&urfave.DurationFlag{Name: "latency", Usage: "time before each answer"},
-			&urfave.BoolFlag{Name: "dedupe", Usage: "do not execute a repeated Idempotency-Key again"},
+			&urfave.DurationFlag{Name: "latency", Usage: "delay before each answer"},
+			&urfave.BoolFlag{Name: "dedupe", Usage: "execute each Idempotency-Key only once"},
 		),
 		Action: func(ctx context.Context, c *urfave.Command) error {
 			options, closeJournal, err := standinOptions(c, stderr)
--- a/cli/standin_test.go
+++ b/cli/standin_test.go
@@ -23,8 +23,8 @@
 	return path
 }
 
-// Scripts decide by the exit code. A usage fault that exits like a broken promise,
-// or the other way round, would make a demonstration blame the wrong thing.
+// Scripts depend on the exit code. Guards against usage errors that exit like a broken
+// guarantee, and the reverse.
 func TestStandinAndLoadExitCodes(t *testing.T) {
 	first, second := writeFile(t, "j1", begunOnE1), writeFile(t, "j2", begunOnE2)
 	empty := writeFile(t, "empty", "\n")
@@ -55,7 +55,7 @@
 		var out bytes.Buffer
 		code := Run(context.Background(), append([]string{"celeryport"}, strings.Fields(test.args)...), &out, &out)
 		if code != test.code || !strings.Contains(out.String(), test.says) {
-			t.Errorf("%s: exit %d, want %d, saying %q:\n%s", test.args, code, test.code, test.says, out.String())
+			t.Errorf("%s: exit %d, want %d and output with %q:\n%s", test.args, code, test.code, test.says, out.String())
 		}
 	}
 }
--- a/cli/table.go
+++ b/cli/table.go
@@ -10,7 +10,7 @@
 
 const tablePadding = 2
 
-// writeTable prints rows below a heading, in columns.
+// writeTable prints a heading and rows in aligned columns.
 func writeTable(out io.Writer, heading []string, rows [][]string) error {
 	w := tabwriter.NewWriter(out, 0, 0, tablePadding, ' ', 0)
 	fmt.Fprintln(w, strings.Join(heading, "\t"))
@@ -20,7 +20,7 @@
 	return w.Flush()
 }
 
-// writeJSON prints a value for programs.
+// writeJSON prints a value as indented JSON.
 func writeJSON(out io.Writer, value any) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
--- a/cli/traffic_process_test.go
+++ b/cli/traffic_process_test.go
@@ -24,13 +24,13 @@
 )
 
 const (
-	callerKey    = "process-caller-key"
-	resentKeys   = 50
-	resendsEach  = 4 // callers a key, at the same time
-	resendTries  = 12
-	keepAddress  = 1 // seconds
-	processModel = "sarto"
-	processTree  = `[organisation]
+	callerKey     = "process-caller-key"
+	retriedKeys   = 50
+	callersPerKey = 4 // concurrent callers per key
+	maxTries      = 12
+	keepSeconds   = 1 // seconds
+	processModel  = "sarto"
+	processTree   = `[organisation]
 [organisation.bottega]
 key_sha256 = %s
 [class]
@@ -53,8 +53,8 @@
 `
 )
 
-// trafficFleet is a processFleet that serves callers: engines, a service and a
-// tree in force.
+// trafficFleet is a processFleet with engines, a service and settings in force, so
+// that it can serve callers.
 type trafficFleet struct {
 	*processFleet
 	engines  []*exec.Cmd
@@ -64,7 +64,7 @@
 func startTrafficFleet(t *testing.T, voters, others int, serviceFlags ...string) *trafficFleet {
 	t.Helper()
 	f := &trafficFleet{processFleet: startProcessFleet(t, voters, others)}
-	tree := f.file("tree.ini", fmt.Sprintf(processTree, settings.HashKey(callerKey), keepAddress))
+	tree := f.file("tree.ini", fmt.Sprintf(processTree, settings.HashKey(callerKey), keepSeconds))
 	if out, code := f.run("settings", "apply", "--to", strings.Join(f.control, ","), "--file", tree,
 		"--base", "0", "--order-id", "first", "--timeout", "30s"); code != ExitDone {
 		t.Fatalf("settings apply: exit %d: %s", code, out)
@@ -106,8 +106,8 @@
 	return filepath.Join(f.folder, name+".journal")
 }
 
-// noKeyBeganTwice compares the journals of all upstreams, the killed ones too.
-func (f *trafficFleet) noKeyBeganTwice() {
+// checkNoDuplicates checks the journals of all upstreams, including killed ones.
+func (f *trafficFleet) checkNoDuplicates() {
 	f.t.Helper()
 	journals, err := filepath.Glob(f.journal("*"))
 	if err != nil || len(journals) < 4 {
@@ -130,7 +130,7 @@
 	return strings.TrimSpace(string(text))
 }
 
-// load runs the load tool; during is called once requests have ended.
+// load runs the load tool and calls during after its first line of progress.
 func (f *trafficFleet) load(requests int, during func()) load.Report {
 	f.t.Helper()
 	var out bytes.Buffer
@@ -157,14 +157,13 @@
 		f.t.Fatalf("load: %v: %s", failed, out.String())
 	}
 	if failed != nil {
-		f.t.Errorf("load found a broken promise: %v: %s", failed, out.String())
+		f.t.Errorf("load found a broken guarantee: %v: %s", failed, out.String())
 	}
 	return report
 }
 
-func TestGracefulShutdownUnderLoadCutsOffNothing(t *testing.T) {
-	// An operator restarts an instance while callers send. Whoever is cut off has
-	// a client waiting at the counter, or a cabinet that stays locked.
+func TestGracefulShutdownUnderLoadAbortsNoRequest(t *testing.T) {
+	// Guards against a graceful shutdown under load that aborts callers' requests.
 	f := startTrafficFleet(t, 1, 2)
 	leaving := f.processes[2]
 	report := f.load(300, func() {
@@ -176,32 +175,32 @@
 		t.Errorf("%d failed, %d served: %+v", report.All.Failed, report.All.Served, report.Causes)
 	}
 	if err := leaving.Wait(); err != nil {
-		t.Errorf("the instance that left: %v", err)
+		t.Errorf("exit of the stopped instance: %v", err)
 	}
 	f.processes[2] = nil
 }
 
-func TestKilledProcessesDoubleNothingAndHoldNoMemory(t *testing.T) {
-	// An instance and an engine are killed under load. Callers whose answers broke
-	// off must be told so truly, nothing may run twice that must not, and the
-	// engines that live must not keep memory for an instance that is gone.
+func TestKilledProcessesCauseNoDuplicatesAndLeakNoMemory(t *testing.T) {
+	// An instance and an engine are killed under load. Callers must get a correct
+	// outcome for interrupted answers, no idempotency key may be executed twice, and
+	// the remaining engines must release the memory held for the killed instance.
 	f := startTrafficFleet(t, 1, 2)
 	report := f.load(300, func() {
 		f.kill(2)
 		_ = f.engines[0].Process.Kill()
 	})
 	if report.All.Served == 0 {
-		t.Errorf("nothing was served: %+v", report.Causes)
+		t.Errorf("no request was served: %+v", report.Causes)
 	}
 	t.Logf("%d served, %d refused, %d failed", report.All.Served, report.All.Refused, report.All.Failed)
-	f.noKeyBeganTwice()
-	f.await("no memory held on the engines that live", func() bool {
-		return f.held("engine-1")+f.held("engine-2") == 0
+	f.checkNoDuplicates()
+	f.await("release of all memory on the remaining engines", func() bool {
+		return f.countHoldings("engine-1")+f.countHoldings("engine-2") == 0
 	})
 }
 
-// held is the number of holdings on an engine.
-func (f *trafficFleet) held(engine string) int {
+// countHoldings returns the number of holdings on an engine.
+func (f *trafficFleet) countHoldings(engine string) int {
 	f.t.Helper()
 	response, err := http.Get("http://" + f.addressOf(engine) + wire.PathHoldings)
 	if err != nil {
@@ -215,14 +214,14 @@
 	return len(holdings.Held)
 }
 
-func TestResentKeysRunOnceWhileProcessesDie(t *testing.T) {
-	// Callers lose answers and send their holds again, through other instances, at
-	// the same time, while a voter and an entry instance are killed and the service
-	// closes connections after reading. A hold that runs twice cuts a bolt twice.
+func TestRetriedKeysRunOnceWhileProcessesDie(t *testing.T) {
+	// Callers retry calls under one idempotency key, concurrently and through other
+	// instances, while the leader and an entry instance are killed and the service
+	// closes connections after reading requests. No key may be executed twice.
 	f := startTrafficFleet(t, 3, 2, "--fault", string(standin.FaultCloseAfterRead)+":10")
 	var callers sync.WaitGroup
-	for i := range resentKeys * resendsEach {
-		callers.Go(func() { f.resend(fmt.Sprintf("key-%d", i%resentKeys), uint64(i)) })
+	for i := range retriedKeys * callersPerKey {
+		callers.Go(func() { f.retry(fmt.Sprintf("key-%d", i%retriedKeys), uint64(i)) })
 	}
 	f.kill(f.leader())
 	f.kill(4)
@@ -234,16 +233,16 @@
 		}
 		ran++
 	}
-	if ran < resentKeys/2 {
-		t.Errorf("only %d of %d keys ran: the test saw too little", ran, resentKeys)
+	if ran < retriedKeys/2 {
+		t.Errorf("only %d of %d keys ran, too few for a meaningful test", ran, retriedKeys)
 	}
 }
 
-// resend sends a hold until its outcome is known, as a caller who lost answers.
-func (f *trafficFleet) resend(key string, seed uint64) {
+// retry repeats a call until it is answered, like a caller that lost the answer.
+func (f *trafficFleet) retry(key string, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for range resendTries {
+	for range maxTries {
 		address := f.traffic[random.IntN(len(f.traffic))]
 		request, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/services/cassa/hold", strings.NewReader(key))
 		if err != nil {
@@ -254,7 +253,7 @@
 		request.Header.Set("Idempotency-Key", key)
 		response, err := client.Do(request)
 		if err != nil {
-			continue // refused or broken: the caller cannot tell, and sends again
+			continue // outcome unknown: the caller retries
 		}
 		_, _ = io.Copy(io.Discard, response.Body)
 		_ = response.Body.Close()
@@ -264,7 +263,7 @@
 	}
 }
 
-// counts asks the service how often it executed each key.
+// counts fetches from the service how often it executed each key.
 func (f *trafficFleet) counts() answer.Counts {
 	f.t.Helper()
 	response, err := http.Get("http://" + f.services + "/counts")
--- a/cli/upstreams.go
+++ b/cli/upstreams.go
@@ -13,11 +13,11 @@
 	"celeryport/upstream"
 )
 
-// upstreamsCommand lists the upstreams as one instance sees them.
+// upstreamsCommand lists the upstreams from the view of one instance.
 func upstreamsCommand(stdout, _ io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "upstreams",
-		Usage: "list the upstreams as the first instance that answers sees them",
+		Usage: "list the upstreams as known to the first instance that answers",
 		Flags: operatorFlags(),
 		Action: func(ctx context.Context, c *urfave.Command) error {
 			o, err := newOperator(c)
@@ -25,8 +25,8 @@
 				return err
 			}
 			var all []control.UpstreamStatus
-			if err := o.ask(ctx, control.CommandUpstreams, nil, &all); err != nil {
-				return readOnly(err)
+			if err := o.call(ctx, control.CommandUpstreams, nil, &all); err != nil {
+				return readOnlyError(err)
 			}
 			if c.String(outputName) == outputJSON {
 				return writeJSON(stdout, all)
--- a/cli/voter.go
+++ b/cli/voter.go
@@ -18,10 +18,10 @@
 	flagNew = "new"
 )
 
-// replaceTimeout leaves a new voter time to copy the log.
+// replaceTimeout is the default timeout of a replacement, in which the new voter copies the log.
 const replaceTimeout = time.Minute
 
-// voterCommand groups the commands on the control group.
+// voterCommand groups the commands about the voters of the control group.
 func voterCommand(stdout, _ io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:  "voter",
@@ -32,15 +32,15 @@
 				Usage: "list the voters and learners",
 				Flags: operatorFlags(),
 				Action: func(ctx context.Context, c *urfave.Command) error {
-					return readOnly(voterCall(ctx, c, stdout, control.CommandVoterList, nil))
+					return readOnlyError(voterCall(ctx, c, stdout, control.CommandVoterList, nil))
 				},
 			},
 			{
 				Name:  "replace",
-				Usage: "make an instance a voter and remove an old voter; a stopped command may be sent again",
+				Usage: "make an instance a voter and remove an old voter; an interrupted command can be repeated",
 				Flags: operatorFlags(
-					&urfave.StringFlag{Name: flagOld, Usage: "ID of the voter to remove, from voter list; none: only add"},
-					&urfave.StringFlag{Name: flagNew, Usage: "name of the instance that becomes a voter; none: only remove"},
+					&urfave.StringFlag{Name: flagOld, Usage: "ID of the voter to remove, from voter list; default: only add"},
+					&urfave.StringFlag{Name: flagNew, Usage: "name of the instance that becomes a voter; default: only remove"},
 				),
 				Action: func(ctx context.Context, c *urfave.Command) error {
 					return replaceVoter(ctx, c, stdout)
@@ -69,7 +69,7 @@
 		return err
 	}
 	var status control.VotersStatus
-	if err := o.ask(ctx, command, request, &status); err != nil {
+	if err := o.call(ctx, command, request, &status); err != nil {
 		return err
 	}
 	if c.String(outputName) == outputJSON {
--- a/cli/voters_process_test.go
+++ b/cli/voters_process_test.go
@@ -11,10 +11,10 @@
 	"celeryport/rpc"
 )
 
-// missedChanges go by while a voter is down.
+// missedChanges is the number of changes while voters are down.
 const missedChanges = 500
 
-// settings returns what the fleet says of its settings.
+// settings returns the fleet's settings status.
 func (f *processFleet) settings() control.SettingsStatus {
 	f.t.Helper()
 	var status control.SettingsStatus
@@ -25,7 +25,7 @@
 	return status
 }
 
-// leader returns the number of the process that leads.
+// leader returns the index of the leader's process.
 func (f *processFleet) leader() int {
 	f.t.Helper()
 	var status control.InstancesStatus
@@ -42,7 +42,7 @@
 	return 0
 }
 
-// apply sends a tree by the command line and returns its exit code.
+// apply runs settings apply and returns its result and exit code.
 func (f *processFleet) apply(base uint64, id string, weight int) (applied, int) {
 	f.t.Helper()
 	return f.applyFor("30s", base, id, weight)
@@ -64,7 +64,7 @@
 	return fmt.Sprintf("[organisation.floor]\nweight = %d\n[class.ping]\ndeadline = 5s\n[length.any]\nup_to = 2M\n", weight%1000+1)
 }
 
-// applyMany sends many changes from this process, each on the one before.
+// applyMany applies count changes from this process, each based on the previous one.
 func (f *processFleet) applyMany(base uint64, count int) uint64 {
 	f.t.Helper()
 	o := operator{addresses: f.control, clients: rpc.NewClients(operatorSecret, nil), timeout: processTimeout}
@@ -72,7 +72,7 @@
 	for i := range count {
 		var outcome state.Outcome
 		request := control.ApplyRequest{Base: base, OrderID: fmt.Sprintf("many-%d-%d", base, i), Text: []byte(treeText(i))}
-		if err := o.ask(f.t.Context(), control.CommandApply, request, &outcome); err != nil {
+		if err := o.call(f.t.Context(), control.CommandApply, request, &outcome); err != nil {
 			f.t.Fatalf("change %d: %v", i, err)
 		}
 		if outcome.Kind != state.Accepted {
@@ -103,10 +103,9 @@
 }
 
 func TestVotersAsProcesses(t *testing.T) {
-	// Voters are killed one after the other, the leader each time, while operators
-	// change the settings; two come back when 500 changes have gone by. Operators
-	// must find every accepted change in force everywhere, and an order whose
-	// answer was lost must get its first outcome.
+	// The leader is killed twice while operators change the settings; both killed
+	// voters restart after 500 changes. Every accepted change must come into force
+	// everywhere, and a retried order must return its first outcome.
 	f := startProcessFleet(t, 5, 0)
 	first, code := f.apply(0, "first", 1)
 	if code != ExitDone {
@@ -134,8 +133,8 @@
 	f.loseMajority(last)
 }
 
-// loseMajority sends an order while too few voters live, and again when they are
-// back: whatever was said of the first sending, the order runs once.
+// loseMajority sends an order without a majority of voters and retries it when they
+// are back. Whatever the first attempt returned, the order must be applied once.
 func (f *processFleet) loseMajority(base uint64) {
 	f.t.Helper()
 	for i := range len(f.processes)/2 + 1 {
