--- a/event/event.go
+++ b/event/event.go
@@ -1,5 +1,5 @@
-// Package event defines the numbered log events of the system. Each package
-// defines its own events; docs/EVENTS.md is the catalogue, checked by a test.
+// Package event defines numbered log events. Each package defines its own events;
+// docs/EVENTS.md is the generated catalogue of all of them.
 package event
 
 import (
@@ -10,12 +10,12 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Event is one kind of log line. Its number never changes its meaning.
+// Event is one kind of log line. The meaning of its number never changes.
 type Event struct {
 	Number  int
 	Level   logrus.Level
 	Message string // fixed text of the log line
-	Meaning string // for the catalogue: what happened and what the reader should do
+	Meaning string // for the catalogue: what happened and what to do
 }
 
 // Fields are the structured values of a log line.
@@ -26,8 +26,8 @@
 	registry = map[int]*Event{}
 )
 
-// Define registers an event at package initialisation. A number that is used
-// twice is a fault of the program and panics.
+// Define registers an event during package initialisation. It panics if the number
+// is already in use.
 func Define(number int, level logrus.Level, message, meaning string) *Event {
 	mu.Lock()
 	defer mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// All returns every defined event by number.
+// All returns all defined events, ordered by number.
 func All() []*Event {
 	mu.Lock()
 	defer mu.Unlock()
