--- a/logsink/events.go
+++ b/logsink/events.go
@@ -6,6 +6,6 @@
 	"celeryport/event"
 )
 
-// The line is written past the logger, which may be what has no room.
+// Writer writes this line directly to its output, since the logger writes to the buffer that may be full.
 var _ = event.Define(1900, logrus.WarnLevel, "log lines dropped",
-	"Standard output took the lines too slowly, and the buffer was full. Fields: lines, since the last such line.")
+	"Standard output was too slow and the buffer of log lines was full. Fields: lines, the number of lines dropped since the last such event.")
--- a/logsink/writer.go
+++ b/logsink/writer.go
@@ -1,5 +1,5 @@
-// Package logsink writes log lines without ever making the writer of a line
-// wait: a full pipe behind standard output must not stop requests.
+// Package logsink writes log lines without blocking the caller, so that a full pipe
+// on standard output can't stall requests.
 package logsink
 
 import (
@@ -9,30 +9,30 @@
 	"sync/atomic"
 )
 
-// Writer passes lines on to a slow output through a bounded buffer. Lines that
-// find it full are dropped and counted, and the number is told in a line of its
-// own as soon as there is room again.
+// Writer copies lines to a slow output through a bounded buffer. If the buffer is
+// full, lines are dropped and counted, and the count is logged before the next line
+// that is written.
 type Writer struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Uint64
-	told    uint64 // dropped lines that the output was told of
-	done    chan struct{}
-	once    sync.Once
+	out       io.Writer
+	lines     chan []byte
+	dropped   atomic.Uint64
+	reported  uint64 // dropped lines that were already reported
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
-// bufferedLines is the bound of the buffer: about 400 KB of usual lines, which
-// covers a stop of the output of several seconds at 200 lines a second.
-const bufferedLines = 1024
+// maxBufferedLines is the capacity of the buffer: about 400 KB of typical lines, enough
+// for the output to stall for several seconds at 200 lines a second.
+const maxBufferedLines = 1024
 
-// New starts a writer; Close ends it.
+// New starts a writer. Call Close to stop it.
 func New(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, bufferedLines), done: make(chan struct{})}
+	w := &Writer{out: out, lines: make(chan []byte, maxBufferedLines), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer. It never fails and never waits.
+// Write implements io.Writer. It never fails or blocks.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -42,30 +42,30 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines found the buffer full.
+// Dropped returns the number of lines dropped because the buffer was full.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what is buffered and ends the writer. No line may be written
-// after it.
+// Close flushes the buffer and stops the writer. Write must not be called after
+// Close.
 func (w *Writer) Close() {
-	w.once.Do(func() { close(w.lines) })
+	w.closeOnce.Do(func() { close(w.lines) })
 	<-w.done
 }
 
 func (w *Writer) run() {
 	defer close(w.done)
 	for line := range w.lines {
-		w.tellDropped()
-		_, _ = w.out.Write(line) // there is no other place to complain to
+		w.reportDropped()
+		_, _ = w.out.Write(line) // there is nowhere else to report an error
 	}
-	w.tellDropped()
+	w.reportDropped()
 }
 
-func (w *Writer) tellDropped() {
+func (w *Writer) reportDropped() {
 	dropped := w.dropped.Load()
-	if dropped == w.told {
+	if dropped == w.reported {
 		return
 	}
-	_, _ = fmt.Fprintf(w.out, `{"event":1900,"level":"warning","msg":"log lines dropped","lines":%d}`+"\n", dropped-w.told) // as above
-	w.told = dropped
+	_, _ = fmt.Fprintf(w.out, `{"event":1900,"level":"warning","msg":"log lines dropped","lines":%d}`+"\n", dropped-w.reported) // as above
+	w.reported = dropped
 }
--- a/logsink/writer_test.go
+++ b/logsink/writer_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// stalled is an output that takes nothing until it is released.
+// stalled is an output that blocks until it is released.
 type stalled struct {
 	release chan struct{}
 	bytes.Buffer
@@ -17,26 +17,26 @@
 	return s.Buffer.Write(p)
 }
 
-func TestStalledOutputStopsNobody(t *testing.T) {
-	// Whoever reads standard output stops reading, for instance a log shipper that
-	// hangs. If writing a line waited for it, every request would stand still. The
-	// lines that were lost have to be told, or the log would look whole.
+func TestStalledOutputDoesNotBlockWrites(t *testing.T) {
+	// The reader of standard output, for instance a log shipper, stops reading. Writes
+	// must not block, which would stall all requests, and dropped lines must be
+	// reported, since the log would otherwise look complete.
 	out := &stalled{release: make(chan struct{})}
 	w := New(out)
-	const lines = bufferedLines + 500
+	const lines = maxBufferedLines + 500
 	for range lines {
 		if _, err := w.Write([]byte("line\n")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if w.Dropped() == 0 {
-		t.Fatal("nothing was dropped, so the buffer has no bound")
+		t.Fatal("no line was dropped: the buffer is unbounded")
 	}
 	close(out.release)
 	w.Close()
 	text := out.String()
 	if !strings.Contains(text, `"event":1900`) {
-		t.Errorf("the dropped lines are not told: %q", text[max(0, len(text)-200):])
+		t.Errorf("dropped lines are not reported: %q", text[max(0, len(text)-200):])
 	}
 	if written := strings.Count(text, "line\n"); written+int(w.Dropped()) != lines {
 		t.Errorf("%d lines written and %d dropped of %d", written, w.Dropped(), lines)
