--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// testLog mixes the lines of three instances, one with a shipper's prefix, one cut
-// short, and something that is no log line.
+// testLog mixes lines of three instances, one with the prefix of a log shipper and one
+// truncated, with a line that is not a log line.
 const testLog = `front-2 2 {"event":7006,"instance":"front-1","call":"c-1","upstream":"i-7","verdict":"may-have-run","error":"connection reset","msg":"send failed","time":"2026-01-01T10:00:01.5Z"}
 {"event":7007,"instance":"front-2","upstream":"i-7","msg":"upstream suspected","time":"2026-01-01T10:00:01Z"}
 {"event":7004,"instance":"front-1","call":"c-1","upstream":"i-7","message":"upstream: the upstream failed","events":3,"total_ms":800,"msg":"call failed","time":"2026-01-01T10:00:02Z"}
@@ -16,8 +16,8 @@
 {"event":7003,"instance":"front-1","call":"c-1","msg":"cut sho`
 
 func TestStoriesOfFailedCalls(t *testing.T) {
-	// A caller complains about a call, and all that is left are the mixed logs of
-	// several instances. Whoever is on call needs the cause from its id alone.
+	// The cause of a failed call must be found by its id alone, in the mixed logs of
+	// several instances.
 	lines, unread, err := Read(strings.NewReader(testLog))
 	if err != nil || unread != 2 || len(lines) != 5 {
 		t.Fatalf("%d lines, %d unread, %v", len(lines), unread, err)
@@ -34,15 +34,15 @@
 		}
 	}
 	if story, _ := Tell(lines, "c-1"); len(story.Upstream) != 1 || len(story.Lines) != 2 || story.Lines[0].Event != eventSendFailed {
-		t.Errorf("the story of c-1: %+v", story)
+		t.Errorf("story of c-1: %+v", story)
 	}
 	if _, found := Tell(lines, "unknown"); found {
-		t.Error("an unknown call has a story")
+		t.Error("found a story of an unknown call")
 	}
 }
 
-// Guards against a story without the reason for which a call's upstream got nothing more.
-func TestStoryTellsWhatTheUpstreamAskedFor(t *testing.T) {
+// Guards against a story that omits why the call's upstream got no more requests.
+func TestStoryIncludesEventsOfTheUpstream(t *testing.T) {
 	const log = `{"event":7016,"instance":"front-1","upstream":"i-7","for_ms":3000,"msg":"upstream asks for rest","time":"2026-01-01T10:00:00Z"}
 {"event":7017,"instance":"front-1","upstream":"i-7","msg":"upstream says that it leaves","time":"2026-01-01T10:00:00Z"}
 {"event":7006,"instance":"front-1","call":"c-1","upstream":"i-7","verdict":"not-run","error":"status 503","msg":"send failed","time":"2026-01-01T10:00:01Z"}
@@ -53,6 +53,6 @@
 		t.Fatal(err)
 	}
 	if story, _ := Tell(lines, "c-1"); len(story.Upstream) != 2 {
-		t.Errorf("of its upstream the story tells %+v", story.Upstream)
+		t.Errorf("events of the upstream in the story: %+v", story.Upstream)
 	}
 }
--- a/explain/line.go
+++ b/explain/line.go
@@ -1,5 +1,5 @@
-// Package explain puts the log lines of one call from several instances in order
-// and says what became of it.
+// Package explain collects the log lines of one call from the logs of several
+// instances and explains its outcome.
 package explain
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Line is one line of a log.
+// Line is one parsed log line.
 type Line struct {
 	At       time.Time
 	Instance string
@@ -21,12 +21,12 @@
 	Fields   map[string]any
 }
 
-// maxLine bounds one line; longer ones are no log lines.
+// maxLine is the maximum length of a line in bytes.
 const maxLine = 1 << 20
 
-// Read reads log lines. Whatever stands before the object on a line, for instance
-// a prefix of a log shipper, is passed over. Lines that are no log lines, or are
-// cut short, are counted.
+// Read parses log lines. Text before the JSON object of a line, such as the prefix of
+// a log shipper, is ignored. Lines that are truncated or not log lines are skipped and
+// counted in unread.
 func Read(r io.Reader) (lines []Line, unread int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
--- a/explain/story.go
+++ b/explain/story.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// The events that a story is made of. Their numbers never change their meaning.
+// Numbers of the events that a story consists of.
 const (
 	eventRefused     = 7002
 	eventServed      = 7003
@@ -22,18 +22,18 @@
 	eventLeaves      = 3029
 )
 
-// upstreamEvents are those that tell what was believed of an upstream.
+// upstreamEvents are the events about the state of an upstream.
 var upstreamEvents = []int{eventSuspected, eventMisdirected, eventLeaves, eventRestAsked, eventSaysLeaving, eventRestEnded}
 
-// Story is what is known of one call.
+// Story holds the logged events of one call.
 type Story struct {
 	Call     string
-	Lines    []Line // of the call itself, in order
-	Upstream []Line // about the upstreams that it was sent to
-	Cause    string // one sentence
+	Lines    []Line // of the call itself, by time
+	Upstream []Line // about the upstreams it was sent to, by time
+	Cause    string // outcome and reason, in one sentence
 }
 
-// Tell returns the story of a call; false if no line names it.
+// Tell returns the story of a call, or false if no line mentions it.
 func Tell(lines []Line, call string) (Story, bool) {
 	story := Story{Call: call}
 	upstreams := map[string]bool{}
@@ -50,8 +50,8 @@
 			story.Upstream = append(story.Upstream, l)
 		}
 	}
-	inOrder(story.Lines)
-	inOrder(story.Upstream)
+	sortByTime(story.Lines)
+	sortByTime(story.Upstream)
 	if len(story.Lines) == 0 {
 		return story, false
 	}
@@ -59,24 +59,24 @@
 	return story, true
 }
 
-func inOrder(lines []Line) {
+func sortByTime(lines []Line) {
 	sort.SliceStable(lines, func(a, b int) bool { return lines[a].At.Before(lines[b].At) })
 }
 
-// cause says in a sentence how the call ended and why.
+// cause describes in a sentence how the call ended and why.
 func cause(lines []Line) string {
 	last := lines[len(lines)-1]
 	sends := failedSends(lines)
 	switch last.Event {
 	case eventRefused:
 		return fmt.Sprintf("%s refused it after %v ms with status %v: %s. It did not run%s.",
-			last.Instance, number(last, "total_ms"), number(last, "status"), detail(last), sends)
+			last.Instance, number(last, "total_ms"), number(last, "status"), errorMessage(last), sends)
 	case eventServed:
 		return fmt.Sprintf("%s passed on the whole answer of %s, status %v, after %v ms%s.",
 			last.Instance, textOf(last.Fields["upstream"]), number(last, "status"), number(last, "total_ms"), sends)
 	case eventFailed:
 		return fmt.Sprintf("%s could not bring it to an end after %v ms and %v events: %s. It may have run%s.",
-			last.Instance, number(last, "total_ms"), number(last, "events"), detail(last), sends)
+			last.Instance, number(last, "total_ms"), number(last, "events"), errorMessage(last), sends)
 	case eventCallerLeft:
 		return fmt.Sprintf("The caller left %s after %v ms, before the end%s.", last.Instance, number(last, "total_ms"), sends)
 	default:
@@ -97,7 +97,7 @@
 	return "; sends that failed before: " + strings.Join(parts, "; ")
 }
 
-func detail(l Line) string { return textOf(l.Fields["message"]) }
+func errorMessage(l Line) string { return textOf(l.Fields["message"]) }
 
 func number(l Line, name string) any {
 	if value, found := l.Fields[name]; found {
