--- a/losses/call.go
+++ b/losses/call.go
@@ -7,7 +7,7 @@
 	"celeryport/verdict"
 )
 
-// The events that end a call.
+// Numbers of the events that end a call.
 const (
 	eventRefused    = 7002
 	eventServed     = 7003
@@ -15,26 +15,25 @@
 	eventCallerLeft = 7005
 )
 
-// call is the end of one call.
+// call is the outcome of one call.
 type call struct {
 	route   string
 	arrived time.Time
 	prompt  float64 // tokens
-	value   float64 // tokens in, and ten for each token out; 1 without a prompt
+	value   float64 // prompt tokens plus answerValue per answer token; at least 1
 	cause   Cause
 
 	objective time.Duration
-	events    float64 // of the answer
-	engines   float64 // that could be used when it was placed last
-	returned  bool    // an earlier try was refused
+	events    float64 // number of events in the answer
+	engines   float64 // usable engines at its last placement
+	retried   bool    // retry after a refusal
 }
 
-// answerValue is what a token of an answer is worth in tokens of the prompt, as
-// placement counts.
+// answerValue is the value of an answer token in prompt tokens, as used by placement.
 const answerValue = 10
 
-// callOf reads the end of a call from a line. Calls that matched no route, or had no
-// key that is known, are owed nothing.
+// callOf parses the outcome of a call from a line that ends one. Calls that matched no
+// route or had no valid key are excluded.
 func callOf(l *explain.Line) (call, bool) {
 	switch l.Event {
 	case eventRefused, eventServed, eventFailed, eventCallerLeft:
@@ -54,7 +53,7 @@
 		objective: durationOf(l, "objective_ms"),
 		events:    numberOf(l, "events"),
 		engines:   numberOf(l, "engines"),
-		returned:  numberOf(l, "age_ms") > 0,
+		retried:   numberOf(l, "age_ms") > 0,
 	}
 	c.value = max(1, c.prompt+answerValue*numberOf(l, "answer"))
 	return c, true
@@ -77,7 +76,7 @@
 		}
 	case eventFailed:
 		if numberOf(l, "events") > 0 {
-			return Cut
+			return Interrupted
 		}
 		return UpstreamFault
 	case eventCallerLeft:
@@ -86,7 +85,7 @@
 	return lateness(l, age)
 }
 
-// lateness judges an answer. Its objective counts from the first try of its caller.
+// lateness compares an answer with its objectives, which start at the caller's first attempt.
 func lateness(l *explain.Line, age time.Duration) Cause {
 	if status := numberOf(l, "status"); status >= 300 {
 		return UpstreamFault
@@ -94,17 +93,17 @@
 	objective, limit := durationOf(l, "objective_ms"), durationOf(l, "pause_limit_ms")
 	switch {
 	case objective > 0 && durationOf(l, "first_ms")+age > objective && age > 0:
-		return ReturnLate
+		return RetryLate
 	case objective > 0 && durationOf(l, "first_ms") > objective:
-		return FirstLate
+		return FirstEventLate
 	case limit > 0 && durationOf(l, "pause_ms") > limit:
-		return PauseLong
+		return PauseTooLong
 	}
 	return None
 }
 
 func numberOf(l *explain.Line, name string) float64 {
-	number, _ := l.Fields[name].(float64) // a field that is left out is 0
+	number, _ := l.Fields[name].(float64) // a missing field is 0
 	return number
 }
 
--- a/losses/cause.go
+++ b/losses/cause.go
@@ -3,38 +3,38 @@
 // Cause is why a call was not answered in time.
 type Cause string
 
-// The causes. A call has the first that fits.
+// The causes. The first one that matches applies.
 const (
-	None          Cause = ""                // answered in time
-	Refused       Cause = "refused"         // turned away at its first try
-	RefusedAgain  Cause = "refused again"   // it had come back after a refusal
-	NoUpstream    Cause = "no upstream"     // nothing was there to take it
-	NoHelper      Cause = "no helper"       // engines rejected it for want of a helper
-	UpstreamFault Cause = "upstream failed" // its upstream failed it, and no other could take over
-	Cut           Cause = "cut"             // its answer broke off
-	CallerLeft    Cause = "caller left"     // before the answer was whole
-	FirstLate     Cause = "first late"      // the first event came too late
-	PauseLong     Cause = "pause too long"  // between two events
-	ReturnLate    Cause = "returned late"   // the first event of a call that had come back was too late
+	None           Cause = ""                // answered in time
+	Refused        Cause = "refused"         // rejected at the first attempt
+	RefusedAgain   Cause = "refused again"   // rejected again after a retry
+	NoUpstream     Cause = "no upstream"     // no upstream was available
+	NoHelper       Cause = "no helper"       // engines rejected it because no helper engine was available
+	UpstreamFault  Cause = "upstream failed" // its upstream failed, and no other could take over
+	Interrupted    Cause = "cut"             // the answer was interrupted
+	CallerLeft     Cause = "caller left"     // before the answer was complete
+	FirstEventLate Cause = "first late"      // the first event came too late
+	PauseTooLong   Cause = "pause too long"  // the pause between two events was too long
+	RetryLate      Cause = "returned late"   // the first event of a retried call came too late
 )
 
-// Causes lists all causes in the order of the tables.
+// Causes returns all causes in the order of the tables.
 func Causes() []Cause {
-	return []Cause{Refused, RefusedAgain, NoUpstream, NoHelper, UpstreamFault, Cut, CallerLeft, FirstLate, ReturnLate, PauseLong}
+	return []Cause{Refused, RefusedAgain, NoUpstream, NoHelper, UpstreamFault, Interrupted, CallerLeft, FirstEventLate, RetryLate, PauseTooLong}
 }
 
-// share is the part of a call's value that is lost.
+// share returns the fraction of a call's value that is lost.
 func (c Cause) share() float64 {
 	switch c {
 	case None:
 		return 0
-	case FirstLate, PauseLong, ReturnLate:
+	case FirstEventLate, PauseTooLong, RetryLate:
 		return lateLoss
 	default:
 		return 1
 	}
 }
 
-// lateLoss is the part of its value that a late answer loses: operators count one as
-// a quarter of one in time.
+// lateLoss is the fraction of its value that a late answer loses: operators count a late
+// answer as a quarter of one in time.
 const lateLoss = 0.75
--- a/losses/doc.go
+++ b/losses/doc.go
@@ -1,4 +1,4 @@
-// Package losses says from the logs of instances where answers that were due in time
-// were lost: which route, by which cause, at which moment. It is pure; operators have
-// it without anything else that watches the fleet.
+// Package losses analyses the logs of instances for calls that were not answered in
+// time, by route, cause and moment. It is pure and needs no other monitoring of the
+// fleet.
 package losses
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -11,19 +11,19 @@
 	"celeryport/settings"
 )
 
-// logAt returns a log line that ends a call at a second.
+// logAt returns a log line with an event at a second.
 func logAt(second float64, event int, fields string) string {
 	at := time.Date(2026, 1, 1, 10, 0, 0, 0, time.UTC).Add(time.Duration(second * float64(time.Second)))
 	return fmt.Sprintf(`front-1 {"event":%d,"instance":"front-1","time":%q%s}`+"\n", event, at.Format(time.RFC3339Nano), fields)
 }
 
-const usual = `,"route":"r","objective_ms":300,"pause_limit_ms":250,"prompt":5000,"answer":1000,"total_ms":100`
+const usualFields = `,"route":"r","objective_ms":300,"pause_limit_ms":250,"prompt":5000,"answer":1000,"total_ms":100`
 
 func linesOf(t *testing.T, lines ...string) []explain.Line {
 	t.Helper()
 	read, unread, err := explain.Read(strings.NewReader(strings.Join(lines, "")))
 	if err != nil || unread > 0 {
-		t.Fatalf("%d lines not read, %v", unread, err)
+		t.Fatalf("%d lines skipped, %v", unread, err)
 	}
 	return read
 }
@@ -33,28 +33,27 @@
 	return Of(linesOf(t, lines...))
 }
 
-func TestEachLossHasItsCause(t *testing.T) {
-	// Answers come late, break off or never come, each for another reason. An operator
-	// who sees only that many are missing can't tell whether to add engines or to look
-	// at the network.
+func TestLossesAreAttributedToCauses(t *testing.T) {
+	// Late, interrupted and missing answers must be attributed to their causes, since
+	// these call for different measures, such as more engines or a network repair.
 	tests := map[Cause]string{
-		None:          logAt(1, 7003, usual+`,"status":200,"first_ms":300,"pause_ms":250`),
-		Refused:       logAt(1, 7002, usual+`,"status":503,"reason":"deadline"`),
-		RefusedAgain:  logAt(1, 7002, usual+`,"status":503,"reason":"deadline","age_ms":900`),
-		NoUpstream:    logAt(1, 7002, usual+`,"status":503,"reason":"no-upstream"`),
-		NoHelper:      logAt(1, 7002, usual+`,"status":503,"reason":"no-upstream","rejections":2`),
-		UpstreamFault: logAt(1, 7004, usual+`,"status":502,"reason":"upstream"`),
-		Cut:           logAt(1, 7004, usual+`,"reason":"upstream","events":3`),
-		CallerLeft:    logAt(1, 7005, usual),
-		FirstLate:     logAt(1, 7003, usual+`,"status":200,"first_ms":301`),
-		ReturnLate:    logAt(1, 7003, usual+`,"status":200,"first_ms":100,"age_ms":250`),
-		PauseLong:     logAt(1, 7003, usual+`,"status":200,"first_ms":100,"pause_ms":251`),
+		None:           logAt(1, 7003, usualFields+`,"status":200,"first_ms":300,"pause_ms":250`),
+		Refused:        logAt(1, 7002, usualFields+`,"status":503,"reason":"deadline"`),
+		RefusedAgain:   logAt(1, 7002, usualFields+`,"status":503,"reason":"deadline","age_ms":900`),
+		NoUpstream:     logAt(1, 7002, usualFields+`,"status":503,"reason":"no-upstream"`),
+		NoHelper:       logAt(1, 7002, usualFields+`,"status":503,"reason":"no-upstream","rejections":2`),
+		UpstreamFault:  logAt(1, 7004, usualFields+`,"status":502,"reason":"upstream"`),
+		Interrupted:    logAt(1, 7004, usualFields+`,"reason":"upstream","events":3`),
+		CallerLeft:     logAt(1, 7005, usualFields),
+		FirstEventLate: logAt(1, 7003, usualFields+`,"status":200,"first_ms":301`),
+		RetryLate:      logAt(1, 7003, usualFields+`,"status":200,"first_ms":100,"age_ms":250`),
+		PauseTooLong:   logAt(1, 7003, usualFields+`,"status":200,"first_ms":100,"pause_ms":251`),
 	}
 	for cause, line := range tests {
 		table := tableOf(t, line)
 		if cause == None {
 			if len(table.Rows) != 0 || table.Routes[0].Lost != 0 {
-				t.Errorf("an answer in time counts as lost: %+v", table.Rows)
+				t.Errorf("an answer in time is counted as lost: %+v", table.Rows)
 			}
 			continue
 		}
@@ -64,27 +63,27 @@
 	}
 }
 
-func TestCallsThatAreOwedNothingAreLeftOut(t *testing.T) {
-	// Callers use keys that were taken away, or paths that no route has. Their refusals
-	// are as the operator wishes.
+func TestIntendedRefusalsAreNotLosses(t *testing.T) {
+	// Refusals of calls with revoked keys, or with paths that match no route, are intended
+	// and must not count as losses.
 	table := tableOf(t,
-		logAt(1, 7002, usual+`,"status":401,"reason":"unauthorised"`),
+		logAt(1, 7002, usualFields+`,"status":401,"reason":"unauthorised"`),
 		logAt(1, 7002, `,"status":404,"reason":"not-found","total_ms":0`))
 	if len(table.Routes) != 0 || len(table.Rows) != 0 {
 		t.Errorf("%+v", table)
 	}
 }
 
-func TestLossesBelongToAMoment(t *testing.T) {
-	// An instance starts again at 20 s, an engine is suspected at 30 s, and long prompts
-	// come from 40 s on. Losses without their moment look like one trouble.
+func TestLossesAreAttributedToMoments(t *testing.T) {
+	// An instance restarts at 20 s, an engine is suspected at 30 s, and long prompts start
+	// at 40 s. Losses must be attributed to these incidents.
 	var lines []string
 	for second := range 60 {
 		for range 4 {
-			lines = append(lines, logAt(float64(second), 7003, usual+`,"status":200,"first_ms":100`))
+			lines = append(lines, logAt(float64(second), 7003, usualFields+`,"status":200,"first_ms":100`))
 		}
 		if second >= 40 {
-			lines = append(lines, logAt(float64(second), 7003, strings.Replace(usual, "5000", "90000", 1)+`,"status":200,"first_ms":100`))
+			lines = append(lines, logAt(float64(second), 7003, strings.Replace(usualFields, "5000", "90000", 1)+`,"status":200,"first_ms":100`))
 		}
 	}
 	started := func(second float64, instance string) string {
@@ -94,8 +93,8 @@
 		lines = append(lines, started(0, fmt.Sprint("front-", i)))
 	}
 	lines = append(lines, started(20, "front-2"), logAt(30, 7007, `,"upstream":"e1"`))
-	for second, want := range map[float64]Moment{10: Calm, 20.5: InstanceLost, 30.5: EngineLost, 41.5: Turn, 55: Burst} {
-		table := tableOf(t, append(lines, logAt(second, 7002, usual+`,"status":503,"reason":"deadline"`))...)
+	for second, want := range map[float64]Moment{10: Calm, 20.5: InstanceLost, 30.5: EngineLost, 41.5: MixChange, 55: Burst} {
+		table := tableOf(t, append(lines, logAt(second, 7002, usualFields+`,"status":503,"reason":"deadline"`))...)
 		if len(table.Rows) != 1 || table.Rows[0].ByMoment[want] == 0 {
 			t.Errorf("at %g s: %+v, want the loss at %q", second, table.Rows, want)
 		}
@@ -108,9 +107,10 @@
 	}
 }
 
-func TestReachSaysWhatEngineTimeAllowed(t *testing.T) {
-	// Two prompts of three engine seconds come at once to two engines, with an objective of
-	// two seconds: one of them can be in time, whole, and a third of the other.
+func TestReachIsBoundedByEngineTime(t *testing.T) {
+	// Two prompts of three engine seconds each arrive at once at two engines, with an
+	// objective of two seconds: the four engine seconds suffice for one prompt and a third
+	// of the other.
 	profile := &settings.EngineProfile{ReadRate: 1000, Slots: 1}
 	prompt := `,"route":"long","objective_ms":1900,"pause_limit_ms":1000,"prompt":3000,"engines":2,"total_ms":0`
 	reach := ReachOf(linesOf(t,
@@ -121,9 +121,9 @@
 		t.Fatalf("%+v", reach)
 	}
 	if got := reach[0].Reachable; math.Abs(got-4./6) > 1e-9 {
-		t.Errorf("%g could have been in time, want 4 of 6 engine seconds", got)
+		t.Errorf("reachable %g, want 4 of 6 engine seconds", got)
 	}
 	if ReachOf(nil, profile) != nil {
-		t.Error("empty logs have something in reach")
+		t.Error("want no routes for empty logs")
 	}
 }
--- a/losses/moment.go
+++ b/losses/moment.go
@@ -7,46 +7,48 @@
 	"celeryport/explain"
 )
 
-// Moment is what went on when a call came.
+// Moment is the condition of the fleet when a call arrived.
 type Moment string
 
-// The moments. A call belongs to the first that fits.
+// The moments. The first one that matches applies.
 const (
-	AllLost      Moment = "all lost"      // half of the instances or more start again
-	InstanceLost Moment = "instance lost" // an instance starts again
-	EngineLost   Moment = "engine lost"   // an upstream stopped answering, was replaced or leaves
-	Turn         Moment = "turn of mix"   // long prompts became much more or much less of the work
-	Burst        Moment = "burst"         // much more work than usual
+	MassRestart  Moment = "all lost"      // at least half of the instances restart
+	InstanceLost Moment = "instance lost" // an instance restarts
+	EngineLost   Moment = "engine lost"   // an upstream stopped responding, was replaced or is leaving
+	MixChange    Moment = "turn of mix"   // the work of long prompts changed a lot
+	Burst        Moment = "burst"         // much more work than the median
 	Calm         Moment = "calm"
 )
 
-// Moments lists all moments in the order of the tables.
-func Moments() []Moment { return []Moment{AllLost, InstanceLost, EngineLost, Turn, Burst, Calm} }
+// Moments returns all moments in the order of the tables.
+func Moments() []Moment {
+	return []Moment{MassRestart, InstanceLost, EngineLost, MixChange, Burst, Calm}
+}
 
 const (
-	eventServing    = 1100
-	eventLeaves     = 3029
-	eventSuspected  = 7007
-	eventMisplaced  = 7008
-	lossAround      = 2 * time.Second // before a new start is logged its instance was gone, and after it others come back
-	engineAround    = 2 * time.Second // in which calls of the upstream end elsewhere
-	turnAround      = 4 * time.Second // the streams of the former mix end within this
-	turnFactor      = 2.5             // between the work of long prompts of two spans
-	burstFactor     = 1.4             // above the median of a second's work
-	workSpan        = 2 * time.Second // over which work is compared
-	longPrompt      = 16_000          // tokens from which on a prompt is long here
-	massiveShare    = 0.5             // of the instances that start at one time
-	meaningfulShare = 0.1             // of the median work; below it a change of the mix is chance
+	eventServing     = 1100
+	eventLeaves      = 3029
+	eventSuspected   = 7007
+	eventMisplaced   = 7008
+	restartWindow    = 2 * time.Second // an instance is down before its restart is logged, and others may restart later
+	engineWindow     = 2 * time.Second // period in which calls of the upstream are affected
+	mixChangeWindow  = 4 * time.Second // time in which streams of the previous mix end
+	mixChangeFactor  = 2.5             // ratio between the work of long prompts of two spans
+	burstFactor      = 1.4             // ratio to the median work of a span
+	workSpan         = 2 * time.Second // interval over which work is summed
+	longPrompt       = 16_000          // minimum tokens of a long prompt
+	massRestartShare = 0.5             // share of the instances that restart at the same time
+	minMixChange     = 0.1             // share of the median work; smaller changes of the mix are noise
 )
 
-// timeline tells what went on at a time.
+// timeline records the incidents and the work over time.
 type timeline struct {
 	begin     time.Time
-	starts    []time.Time // of instances that had run before
+	restarts  []time.Time // restarts of instances
 	instances int
 	engines   []time.Time
-	work      []float64 // tokens a span
-	long      []float64 // of these, of long prompts
+	work      []float64 // value per workSpan
+	long      []float64 // part of work that is due to long prompts
 	median    float64
 }
 
@@ -58,22 +60,22 @@
 	t.begin = slices.MinFunc(calls, func(a, b call) int { return a.arrived.Compare(b.arrived) }).arrived
 	seen := map[string]bool{}
 	for i := range lines {
-		t.note(&lines[i], seen)
+		t.addEvent(&lines[i], seen)
 	}
 	t.instances = len(seen)
 	for i := range calls {
-		t.count(&calls[i])
+		t.addCall(&calls[i])
 	}
 	sorted := slices.Sorted(slices.Values(t.work))
 	t.median = sorted[len(sorted)/2]
 	return t
 }
 
-func (t *timeline) note(l *explain.Line, seen map[string]bool) {
+func (t *timeline) addEvent(l *explain.Line, seen map[string]bool) {
 	switch l.Event {
 	case eventServing:
 		if seen[l.Instance] {
-			t.starts = append(t.starts, l.At)
+			t.restarts = append(t.restarts, l.At)
 		}
 		seen[l.Instance] = true
 	case eventLeaves, eventSuspected, eventMisplaced:
@@ -81,7 +83,7 @@
 	}
 }
 
-func (t *timeline) count(c *call) {
+func (t *timeline) addCall(c *call) {
 	at := int(c.arrived.Sub(t.begin) / workSpan)
 	for len(t.work) <= at {
 		t.work = append(t.work, 0)
@@ -93,30 +95,30 @@
 	}
 }
 
-// at returns the moment of a time.
+// at returns the moment at a time.
 func (t *timeline) at(now time.Time) Moment {
-	around := countAround(t.starts, now, lossAround)
+	around := countAround(t.restarts, now, restartWindow)
 	switch {
-	case t.instances > 0 && float64(around) >= massiveShare*float64(t.instances):
-		return AllLost
+	case t.instances > 0 && float64(around) >= massRestartShare*float64(t.instances):
+		return MassRestart
 	case around > 0:
 		return InstanceLost
-	case countAround(t.engines, now, engineAround) > 0:
+	case countAround(t.engines, now, engineWindow) > 0:
 		return EngineLost
-	case t.turns(now):
-		return Turn
+	case t.mixChanged(now):
+		return MixChange
 	case t.work[int(now.Sub(t.begin)/workSpan)] > burstFactor*t.median:
 		return Burst
 	}
 	return Calm
 }
 
-// turns reports whether the work of long prompts changed within the time before.
-func (t *timeline) turns(now time.Time) bool {
+// mixChanged reports whether the work of long prompts changed a lot within mixChangeWindow before now.
+func (t *timeline) mixChanged(now time.Time) bool {
 	at := int(now.Sub(t.begin) / workSpan)
-	for before := max(0, at-int(turnAround/workSpan)); before < at; before++ {
+	for before := max(0, at-int(mixChangeWindow/workSpan)); before < at; before++ {
 		small, large := min(t.long[before], t.long[at]), max(t.long[before], t.long[at])
-		if large > meaningfulShare*t.median && large > turnFactor*small {
+		if large > minMixChange*t.median && large > mixChangeFactor*small {
 			return true
 		}
 	}
--- a/losses/reach.go
+++ b/losses/reach.go
@@ -11,20 +11,20 @@
 	"celeryport/settings"
 )
 
-// Reach compares what one route was served in time with what engine time allowed.
+// Reach compares the value served in time on one route with that allowed by engine time.
 type Reach struct {
 	Route     string  `json:"route"`
-	Calls     int     `json:"calls"` // with a prompt; those that came back after a refusal count once
+	Calls     int     `json:"calls"` // calls with a prompt, without retries
 	Reached   float64 `json:"reached"`
-	Reachable float64 `json:"reachable"` // of the best plan that knows all calls beforehand
+	Reachable float64 `json:"reachable"` // by the best plan with advance knowledge of all calls
 }
 
-// reachSlot is how finely engine time is divided.
+// reachSlot is the time resolution of the plan.
 const reachSlot = 100 * time.Millisecond
 
-// ReachOf computes for the routes with prompts which part of their value was served in time
-// and which part could have been, as far as engine time alone decides. Engines count as there
-// as long as the instances that placed calls saw them.
+// ReachOf computes, for the routes with prompts, the fraction of their value that was served
+// in time and an upper bound by engine time alone. The number of engines over time is the one
+// that instances saw when they placed calls.
 func ReachOf(lines []explain.Line, profile *settings.EngineProfile) []Reach {
 	calls := promptsOf(lines)
 	if len(calls) == 0 {
@@ -38,7 +38,7 @@
 			Arrived: c.arrived.Sub(begin), Objective: c.objective, Need: engineTime(profile, c), Value: c.value,
 		}
 	}
-	parts := planner.Reachable(planned, planner.Capacity{Slot: reachSlot, Slots: enginesOver(calls, begin)})
+	parts := planner.Reachable(planned, planner.Capacity{Slot: reachSlot, Slots: engineTimePerSlot(calls, begin)})
 	routes, value := map[string]*Reach{}, map[string]float64{}
 	for i := range calls {
 		c := &calls[i]
@@ -64,11 +64,11 @@
 	return list
 }
 
-// promptsOf lists the calls with prompts in the order of their arrival.
+// promptsOf returns the calls with prompts, except retries, in order of arrival.
 func promptsOf(lines []explain.Line) []call {
 	var calls []call
 	for i := range lines {
-		if c, ended := callOf(&lines[i]); ended && c.prompt > 0 && !c.returned {
+		if c, ended := callOf(&lines[i]); ended && c.prompt > 0 && !c.retried {
 			calls = append(calls, c)
 		}
 	}
@@ -76,17 +76,17 @@
 	return calls
 }
 
-// engineTime is the least time of one engine that a call takes, in seconds: its reading,
-// and its part of the passes of an engine that writes as many streams as it has slots. An
-// answer that did not come counts as none, so that the bound stays one.
+// engineTime returns the minimum engine time of a call, in seconds: its prefill, and its
+// share of the decode passes of an engine with all slots in use. A missing answer counts
+// as empty, so that the result remains a lower bound.
 func engineTime(p *settings.EngineProfile, c *call) float64 {
 	step := p.Step.Seconds()/float64(max(1, p.Slots)) + p.StepPerWriter.Seconds()
 	return placement.PrefillTime(p, int(c.prompt)).Seconds() + c.events*float64(max(1, p.Stride))*step
 }
 
-// enginesOver returns the engine time of each slot, by the most engines that any call of
-// the slot saw; a slot without calls is like the one before.
-func enginesOver(calls []call, begin time.Time) []float64 {
+// engineTimePerSlot returns the engine time in each slot, from the maximum number of engines seen
+// by the calls of the slot. A slot without calls has the value of the previous slot.
+func engineTimePerSlot(calls []call, begin time.Time) []float64 {
 	var seen []float64
 	for i := range calls {
 		at := int(calls[i].arrived.Sub(begin) / reachSlot)
--- a/losses/table.go
+++ b/losses/table.go
@@ -7,33 +7,32 @@
 	"celeryport/explain"
 )
 
-// Row is what one route lost by one cause.
+// Row is the loss of one route by one cause.
 type Row struct {
 	Route    string             `json:"route"`
 	Cause    Cause              `json:"cause"`
 	Calls    int                `json:"calls"`
-	Lost     float64            `json:"lost"` // share of what the route was owed
+	Lost     float64            `json:"lost"` // fraction of the route's total value
 	ByMoment map[Moment]float64 `json:"by_moment"`
 }
 
-// Owed is what came on a route.
-type Owed struct {
+// RouteDemand is the demand on one route.
+type RouteDemand struct {
 	Route    string             `json:"route"`
 	Calls    int                `json:"calls"`
 	Prompt   float64            `json:"mean_prompt"`
 	Lost     float64            `json:"lost"`
-	ByMoment map[Moment]float64 `json:"owed_by_moment"` // share of the route's value that was owed then
+	ByMoment map[Moment]float64 `json:"owed_by_moment"` // fraction of the route's total value
 }
 
-// Table holds all losses. A refused call that came back counts at both tries, since
-// its tries have ids of their own: the value that is owed is a little too high where
-// many are refused.
+// Table holds all losses. A retried call counts at each attempt, since attempts have
+// separate ids, so the total value is slightly overstated if many calls are refused.
 type Table struct {
-	Routes []Owed `json:"routes"`
-	Rows   []Row  `json:"rows"`
+	Routes []RouteDemand `json:"routes"`
+	Rows   []Row         `json:"rows"`
 }
 
-// Of sums up the losses of all calls that end in the lines.
+// Of computes the losses of all calls that end in the lines.
 func Of(lines []explain.Line) Table {
 	calls := make([]call, 0, len(lines))
 	for i := range lines {
@@ -41,19 +40,19 @@
 			calls = append(calls, c)
 		}
 	}
-	line := newTimeline(lines, calls)
+	history := newTimeline(lines, calls)
 	value := map[string]float64{}
-	owed, rows := map[string]*Owed{}, map[string]*Row{}
+	demands, rows := map[string]*RouteDemand{}, map[string]*Row{}
 	for i := range calls {
 		value[calls[i].route] += calls[i].value
 	}
 	for i := range calls {
 		c := &calls[i]
-		moment, part := line.at(c.arrived), c.value/value[c.route]
-		o := owed[c.route]
+		moment, part := history.at(c.arrived), c.value/value[c.route]
+		o := demands[c.route]
 		if o == nil {
-			o = &Owed{Route: c.route, ByMoment: map[Moment]float64{}}
-			owed[c.route] = o
+			o = &RouteDemand{Route: c.route, ByMoment: map[Moment]float64{}}
+			demands[c.route] = o
 		}
 		o.Calls++
 		o.Prompt += c.prompt
@@ -73,19 +72,19 @@
 		r.ByMoment[moment] += lost
 		o.Lost += lost
 	}
-	return assemble(owed, rows)
+	return buildTable(demands, rows)
 }
 
-func assemble(owed map[string]*Owed, rows map[string]*Row) Table {
+func buildTable(demands map[string]*RouteDemand, rows map[string]*Row) Table {
 	var t Table
-	for _, o := range owed {
+	for _, o := range demands {
 		o.Prompt /= float64(o.Calls)
 		t.Routes = append(t.Routes, *o)
 	}
 	for _, r := range rows {
 		t.Rows = append(t.Rows, *r)
 	}
-	slices.SortFunc(t.Routes, func(a, b Owed) int {
+	slices.SortFunc(t.Routes, func(a, b RouteDemand) int {
 		return cmp.Or(cmp.Compare(a.Prompt, b.Prompt), cmp.Compare(a.Route, b.Route))
 	})
 	order := map[string]int{}
