--- a/pack/pack.go
+++ b/pack/pack.go
@@ -1,6 +1,6 @@
-// Package pack compresses settings texts. A document of 1,600 routes shrinks to
-// about a tenth, and is sent to every instance, written to every voter's log and
-// held in memory in that form.
+// Package pack compresses settings texts. A document of 1,600 routes is compressed to
+// about a tenth; it is sent to instances, written to voters' logs and kept in memory in
+// compressed form.
 package pack
 
 import (
@@ -11,14 +11,14 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// MaxText bounds what a packed text may unpack to; one that claims more is
-// refused before it takes the memory.
+// MaxText bounds the unpacked size of a text. Larger texts are rejected before memory
+// is allocated for them.
 const MaxText = 32 << 20
 
-// window bounds the memory of the compressor.
+// window is the compression window in bytes, which bounds the compressor's memory.
 const window = 1 << 20
 
-// magic begins every packed text; no readable text begins so.
+// magic is the prefix of all packed texts (the zstd magic number), which is not valid UTF-8.
 var magic = []byte{0x28, 0xb5, 0x2f, 0xfd}
 
 var encoder = sync.OnceValues(func() (*zstd.Encoder, error) {
@@ -29,7 +29,7 @@
 	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(MaxText))
 })
 
-// Text packs a text.
+// Text compresses a text.
 func Text(text []byte) ([]byte, error) {
 	e, err := encoder()
 	if err != nil {
@@ -38,7 +38,7 @@
 	return e.EncodeAll(text, nil), nil
 }
 
-// Unpack returns the text that was packed; one that was not is returned as it is.
+// Unpack reverses Text. Data that is not packed is returned unchanged.
 func Unpack(data []byte) ([]byte, error) {
 	if !bytes.HasPrefix(data, magic) {
 		return data, nil
