--- a/clock/boot.go
+++ b/clock/boot.go
@@ -6,17 +6,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot is a clock that also counts the time in which the machine was suspended.
-// The machine's steady clock stands still then: a lease measured by it would seem
-// valid after a sleep in which it ran out everywhere else. Its times carry no
-// monotonic reading, so that differences between them are those of this clock.
+// Boot is a clock that includes the time during which the machine was suspended. The
+// monotonic clock stops during suspension, so a lease measured by it would still seem
+// valid after it had expired on other machines. The returned times have no monotonic
+// reading, so that differences between them follow this clock.
 type Boot struct {
-	start time.Time     // time of day at the start, never read again
-	boot  time.Duration // since boot at the start
+	start time.Time     // wall-clock time at the start
+	boot  time.Duration // time since boot at the start
 }
 
-// NewBoot returns a clock that starts at the present time of day and does not
-// follow its later jumps.
+// NewBoot returns a clock that starts at the current wall-clock time and ignores later
+// steps of the wall clock.
 func NewBoot() *Boot {
 	return &Boot{start: time.Now().Round(0), boot: sinceBoot()}
 }
@@ -27,7 +27,7 @@
 func sinceBoot() time.Duration {
 	var now unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &now) != nil {
-		return time.Duration(time.Now().UnixNano()) // a kernel without this clock is not supported, and time must go on
+		return time.Duration(time.Now().UnixNano()) // fallback for unsupported kernels without CLOCK_BOOTTIME, so that time still advances
 	}
 	return time.Duration(now.Nano())
 }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,16 +1,16 @@
-// Package clock is the source of time of every driver. Pure types take the
-// time as an argument instead and never use this package.
+// Package clock provides the time to code that runs goroutines or does I/O. Pure types
+// take the time as an argument instead.
 package clock
 
 import "time"
 
-// Clock tells the time. Real clocks carry a monotonic reading, so differences
-// between two calls of one process are safe against wall-clock steps.
+// Clock returns the current time. Differences between two times of one process are not
+// affected by steps of the wall clock.
 type Clock interface {
 	Now() time.Time
 }
 
-// Real is the clock of the machine, or of the bubble under testing/synctest.
+// Real is the system clock, or the fake clock of a testing/synctest bubble.
 type Real struct{}
 
 // Now implements Clock.
--- a/clock/pause.go
+++ b/clock/pause.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pause waits and reports whether the time passed before the context ended.
+// Pause waits for d. It returns false if ctx ends earlier.
 func Pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/clock/pause_test.go
+++ b/clock/pause_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Guards against a wait that outlasts the work that it is for.
+// Guards against a wait that continues after its context has ended.
 func TestPauseEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -17,7 +17,7 @@
 			t.Errorf("a pause of 400 ms ended after %s", time.Since(began))
 		}
 		if Pause(ctx, time.Hour) || time.Since(began) != time.Second {
-			t.Errorf("a pause went on %s after its context", time.Since(began)-time.Second)
+			t.Errorf("a pause ended %s after its context", time.Since(began)-time.Second)
 		}
 	})
 }
