--- a/cmd/celeryport/main.go
+++ b/cmd/celeryport/main.go
@@ -1,5 +1,5 @@
-// Command celeryport is the serving layer's one binary: the entry instance, the
-// operators' commands, the stand-ins and the load tool.
+// Command celeryport runs instances of the serving layer, operators' commands, stand-in
+// upstreams and the load generator.
 package main
 
 import (
