--- a/settings/authenticate.go
+++ b/settings/authenticate.go
@@ -6,24 +6,24 @@
 	"encoding/hex"
 )
 
-// caller maps the hash of one API key to its organisation.
-type caller struct {
+// callerKey maps the hash of one API key to its organisation.
+type callerKey struct {
 	digest       [sha256.Size]byte
 	organisation string
 }
 
-func newCallers(organisations []Organisation) []caller {
-	var callers []caller
+func newCallerKeys(organisations []Organisation) []callerKey {
+	var callerKeys []callerKey
 	for _, o := range organisations {
 		for _, hash := range o.KeySHA256 {
-			c := caller{organisation: o.Name}
+			c := callerKey{organisation: o.Name}
 			if _, err := hex.Decode(c.digest[:], []byte(hash)); err != nil {
 				continue // unreachable: digestPattern accepts only hex digits
 			}
-			callers = append(callers, c)
+			callerKeys = append(callerKeys, c)
 		}
 	}
-	return callers
+	return callerKeys
 }
 
 // Authenticate returns the organisation that owns key. It takes the same time
@@ -31,14 +31,14 @@
 func (t *Tree) Authenticate(key string) (organisation string, ok bool) {
 	digest := sha256.Sum256([]byte(key))
 	found := -1
-	for i := range t.callers {
-		equal := subtle.ConstantTimeCompare(digest[:], t.callers[i].digest[:])
+	for i := range t.callerKeys {
+		equal := subtle.ConstantTimeCompare(digest[:], t.callerKeys[i].digest[:])
 		found = subtle.ConstantTimeSelect(equal, i, found)
 	}
 	if found < 0 {
 		return "", false
 	}
-	return t.callers[found].organisation, true
+	return t.callerKeys[found].organisation, true
 }
 
 // HashKey returns the hex SHA-256 of a key, as it is stored in a settings tree.
--- a/settings/field.go
+++ b/settings/field.go
@@ -10,7 +10,7 @@
 	allowed     string
 	help        string
 	local       bool // not inherited by descendants
-	mandatory   bool // mandatory
+	mandatory   bool
 	secret      bool // value is never included in a fault
 	set         func(target *T, text string) error
 	reset       func(target *T)
--- a/settings/forwarding_index.go
+++ b/settings/forwarding_index.go
@@ -20,7 +20,7 @@
 		return nil, err
 	}
 	f.index()
-	return &Tree{Organisations: organisations, Forwarding: f, callers: newCallers(organisations)}, nil
+	return &Tree{Organisations: organisations, Forwarding: f, callerKeys: newCallerKeys(organisations)}, nil
 }
 
 func (f *Forwarding) index() {
@@ -38,11 +38,11 @@
 	for i := range f.Services {
 		f.services[f.Services[i].Name] = i
 	}
-	f.setLeastPauses()
+	f.setMinPauses()
 }
 
-// setLeastPauses sets the LeastPause of each engine service from the routes to it.
-func (f *Forwarding) setLeastPauses() {
+// setMinPauses sets the LeastPause of each engine service from the routes to it.
+func (f *Forwarding) setMinPauses() {
 	for i := range f.Routes {
 		route := &f.Routes[i]
 		for _, to := range route.Shares {
--- a/settings/parse_tree.go
+++ b/settings/parse_tree.go
@@ -19,7 +19,7 @@
 	if err := faults.err(); err != nil {
 		return nil, err
 	}
-	tree.callers = newCallers(tree.Organisations)
+	tree.callerKeys = newCallerKeys(tree.Organisations)
 	return tree, nil
 }
 
--- a/settings/schema_target.go
+++ b/settings/schema_target.go
@@ -17,7 +17,7 @@
 		key("up_to", count(minUpTo, maxTokens), "", func(l *Length) *int { return &l.UpTo },
 			"Longest prompt of the class, in tokens.").required(),
 		key("long", boolean(), "false", func(l *Length) *bool { return &l.Long },
-			"Whether prompts of the class can block short ones and use the separate pool for long prompts."),
+			"Whether prompts of the class can block short ones and are scheduled in the lane for long prompts."),
 	},
 }
 
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -18,7 +18,7 @@
 	Services      []Service
 	Fleet         Fleet
 	Forwarding    *Forwarding // routes of forwarded calls, nil if there are none
-	callers       []caller    // keys of all organisations
+	callerKeys    []callerKey // keys of all organisations
 }
 
 // Organisation is one branch of the organisation tree. Name is its dotted path
@@ -79,7 +79,7 @@
 type Length struct {
 	Name string
 	UpTo int
-	Long bool // prompts of this class may block short ones and use the long lane
+	Long bool // prompts of this class can block short ones and are scheduled in the lane for long prompts
 }
 
 // Model is a model that engines serve.
