--- a/cli/addresses.go
+++ b/cli/addresses.go
@@ -51,15 +51,15 @@
 
 // firstAddresses returns the list of the first address that responds.
 func firstAddresses(addresses []string) (*addressList, error) {
-	var failed error
+	var failures error
 	for _, address := range addresses {
 		list, err := fetchAddresses(address)
 		if err == nil {
 			return list, nil
 		}
-		failed = errors.CombineErrors(failed, errors.Wrap(err, address))
+		failures = errors.CombineErrors(failures, errors.Wrap(err, address))
 	}
-	return nil, failed
+	return nil, failures
 }
 
 func fetchAddresses(address string) (*addressList, error) {
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -27,12 +27,12 @@
 			if c.Args().Len() != 1 {
 				return &ExitError{Code: ExitUsage, Err: errors.New("name exactly one call id")}
 			}
-			lines, unread, err := readLogs(c.StringSlice(flagLog))
+			lines, skipped, err := readLogs(c.StringSlice(flagLog))
 			if err != nil {
 				return &ExitError{Code: ExitUsage, Err: err}
 			}
-			if unread > 0 {
-				fmt.Fprintf(stderr, "celeryport: skipped %d lines that are not complete log lines\n", unread)
+			if skipped > 0 {
+				fmt.Fprintf(stderr, "celeryport: skipped %d lines that are not complete log lines\n", skipped)
 			}
 			story, found := explain.Tell(lines, c.Args().First())
 			if !found {
@@ -51,12 +51,12 @@
 	var all []explain.Line
 	total := 0
 	for _, path := range paths {
-		lines, unread, err := readLog(path)
+		lines, skipped, err := readLog(path)
 		if err != nil {
 			return nil, 0, err
 		}
 		all = append(all, lines...)
-		total += unread
+		total += skipped
 	}
 	return all, total, nil
 }
@@ -66,8 +66,8 @@
 	if err != nil {
 		return nil, 0, errors.Wrap(err, "open a log")
 	}
-	lines, unread, err := explain.Read(file)
-	return lines, unread, errors.CombineErrors(err, file.Close())
+	lines, skipped, err := explain.Read(file)
+	return lines, skipped, errors.CombineErrors(err, file.Close())
 }
 
 func printStory(out io.Writer, story *explain.Story) {
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -33,12 +33,12 @@
 			&urfave.StringFlag{Name: flagLossesDocument, Usage: "settings document `FILE` of the platform; prints the achievable rates per route instead"},
 		},
 		Action: func(_ context.Context, c *urfave.Command) error {
-			lines, unread, err := readLogs(c.Args().Slice())
+			lines, skipped, err := readLogs(c.Args().Slice())
 			if err != nil {
 				return &ExitError{Code: ExitUsage, Err: err}
 			}
-			if unread > 0 {
-				fmt.Fprintf(stderr, "celeryport: skipped %d lines that are not complete log lines\n", unread)
+			if skipped > 0 {
+				fmt.Fprintf(stderr, "celeryport: skipped %d lines that are not complete log lines\n", skipped)
 			}
 			if file := c.String(flagLossesDocument); file != "" {
 				return printReach(stdout, lines, file, c.Bool(flagLossesJSON))
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -87,38 +87,38 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
-	var unknown *verdict.Error
+	var unknownOutcome *verdict.Error
 	for {
-		failed := o.round(ctx, command, body, response)
-		if failed == nil {
+		failure := o.tryEachAddress(ctx, command, body, response)
+		if failure == nil {
 			return nil
 		}
-		if final(failed) {
-			return withExitCode(failed)
+		if final(failure) {
+			return withExitCode(failure)
 		}
-		if failed.Verdict != verdict.NotRun {
-			unknown = failed
+		if failure.Verdict != verdict.NotRun {
+			unknownOutcome = failure
 		}
 		if !clock.Pause(ctx, retryPause) {
-			if unknown != nil {
-				return withExitCode(unknown)
+			if unknownOutcome != nil {
+				return withExitCode(unknownOutcome)
 			}
-			return withExitCode(failed)
+			return withExitCode(failure)
 		}
 	}
 }
 
-// round tries each address once. It returns nil after an answer, otherwise a
+// tryEachAddress tries each address once. It returns nil after an answer, otherwise a
 // failure whose outcome is unknown, if there is one.
-func (o *operator) round(ctx context.Context, command string, body []byte, response any) *verdict.Error {
+func (o *operator) tryEachAddress(ctx context.Context, command string, body []byte, response any) *verdict.Error {
 	var worst *verdict.Error
 	for _, address := range o.addresses {
-		failed := o.attempt(ctx, address, command, body, response)
-		if failed == nil || final(failed) {
-			return failed
+		failure := o.attempt(ctx, address, command, body, response)
+		if failure == nil || final(failure) {
+			return failure
 		}
 		if worst == nil || worst.Verdict == verdict.NotRun {
-			worst = failed
+			worst = failure
 		}
 	}
 	return worst
--- a/cli/output.go
+++ b/cli/output.go
@@ -23,9 +23,9 @@
 		Name:  outputName,
 		Usage: "output format: " + strings.Join(formats, ", "),
 		Value: formats[0],
-		Validator: func(form string) error {
-			if !slices.Contains(formats, form) {
-				return errors.Newf("%q is none of %s", form, strings.Join(formats, ", "))
+		Validator: func(format string) error {
+			if !slices.Contains(formats, format) {
+				return errors.Newf("%q is none of %s", format, strings.Join(formats, ", "))
 			}
 			return nil
 		},
--- a/cli/ports_test.go
+++ b/cli/ports_test.go
@@ -35,15 +35,15 @@
 		return nil, err
 	}
 	config := net.ListenConfig{Control: func(_, _ string, conn syscall.RawConn) error {
-		var failed error
+		var optionErr error
 		err := conn.Control(func(fd uintptr) {
 			onlyPort := at.Port<<16 | at.Port
-			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_IP, unix.IP_LOCAL_PORT_RANGE, onlyPort)
+			optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_IP, unix.IP_LOCAL_PORT_RANGE, onlyPort)
 		})
 		if err != nil {
 			return err
 		}
-		return failed
+		return optionErr
 	}}
 	return config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 }
--- a/cli/serve.go
+++ b/cli/serve.go
@@ -73,24 +73,24 @@
 	sink := logsink.New(stdout)
 	defer sink.Close()
 	log := newLog(sink, process.LogLevel).WithField("instance", process.Name)
-	watching, end := context.WithCancel(ctx)
-	defer end()
+	watchCtx, stopWatching := context.WithCancel(ctx)
+	defer stopWatching()
 	return serve(ctx, instance.RunForwarding, instance.Options{
 		Process: process,
 		Log:     log,
 		Adapter: platformAdapter(),
-		Changes: watchSettings(watching, path, log),
+		Changes: watchSettings(watchCtx, path, log),
 	})
 }
 
-// runInstance runs an instance until stop ends; the end of cut aborts its graceful shutdown.
-type runInstance func(stop, cut context.Context, options instance.Options) error
+// runInstance runs an instance until stop ends; cancelling abort cuts its graceful shutdown short.
+type runInstance func(stop, abort context.Context, options instance.Options) error
 
 // serve runs an instance until a first signal; a second signal aborts the graceful shutdown.
 func serve(ctx context.Context, run runInstance, options instance.Options) error {
-	stop, first := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
-	defer first()
-	cut, cancel := context.WithCancel(ctx)
+	stop, releaseSignals := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
+	defer releaseSignals()
+	abort, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		<-stop.Done()
@@ -99,8 +99,8 @@
 		select {
 		case <-second.Done():
 			cancel()
-		case <-cut.Done():
+		case <-abort.Done():
 		}
 	}()
-	return run(stop, cut, options)
+	return run(stop, abort, options)
 }
--- a/cli/settings_apply.go
+++ b/cli/settings_apply.go
@@ -50,8 +50,8 @@
 	operator       *operator
 }
 
-// applied is the JSON output.
-type applied struct {
+// applyResult is the JSON output.
+type applyResult struct {
 	OrderID string        `json:"order_id"`
 	Base    uint64        `json:"base"`
 	Outcome state.Outcome `json:"outcome"`
@@ -79,7 +79,7 @@
 		}
 		fmt.Fprintf(a.stderr, "order %s on base %d\n", request.OrderID, request.Base)
 	}
-	result := applied{OrderID: request.OrderID, Base: request.Base}
+	result := applyResult{OrderID: request.OrderID, Base: request.Base}
 	if err := a.operator.call(ctx, control.CommandApply, request, &result.Outcome); err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 	return status.Accepted.Number, readOnlyError(err)
 }
 
-func (a *applier) report(ctx context.Context, result applied) error {
+func (a *applier) report(ctx context.Context, result applyResult) error {
 	if result.Outcome.Kind == state.Accepted && a.wait > 0 {
 		result.InForce = a.awaitInForce(ctx, result.Outcome.Revision)
 	}
@@ -145,7 +145,7 @@
 	}
 }
 
-func (a *applier) print(result *applied) error {
+func (a *applier) print(result *applyResult) error {
 	if a.output == outputJSON {
 		return writeJSON(a.stdout, result)
 	}
--- a/cli/settings_check.go
+++ b/cli/settings_check.go
@@ -56,8 +56,8 @@
 func checkFile(file string) checkResult {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		unread := settings.Fault{File: file, Problem: "can't be read: " + err.Error(), Allowed: "a readable file"}
-		return checkResult{File: file, Kind: "unknown", Faults: settings.Faults{unread}}
+		unreadable := settings.Fault{File: file, Problem: "can't be read: " + err.Error(), Allowed: "a readable file"}
+		return checkResult{File: file, Kind: "unknown", Faults: settings.Faults{unreadable}}
 	}
 	kind, err := settings.Check(file, text)
 	result := checkResult{File: file, Kind: kind.String()}
--- a/cli/standin_executions.go
+++ b/cli/standin_executions.go
@@ -38,12 +38,12 @@
 			return &ExitError{Code: ExitUsage, Err: err}
 		}
 	}
-	doubled := executions.Doubled()
-	for _, one := range doubled {
+	duplicates := executions.Doubled()
+	for _, one := range duplicates {
 		fmt.Fprintf(stdout, "%s began %d times: %s\n", one.Key, one.Count, strings.Join(one.Upstreams, ", "))
 	}
-	fmt.Fprintf(stdout, "%d keys, %d doubled\n", executions.Keys(), len(doubled))
-	if len(doubled) > 0 {
+	fmt.Fprintf(stdout, "%d keys, %d doubled\n", executions.Keys(), len(duplicates))
+	if len(duplicates) > 0 {
 		return &ExitError{Code: ExitFailed, Err: errDuplicateExecution}
 	}
 	return nil
--- a/cli/voters_process_test.go
+++ b/cli/voters_process_test.go
@@ -43,17 +43,17 @@
 }
 
 // apply runs settings apply and returns its result and exit code.
-func (f *processFleet) apply(base uint64, id string, weight int) (applied, int) {
+func (f *processFleet) apply(base uint64, id string, weight int) (applyResult, int) {
 	f.t.Helper()
 	return f.applyFor("30s", base, id, weight)
 }
 
-func (f *processFleet) applyFor(timeout string, base uint64, id string, weight int) (applied, int) {
+func (f *processFleet) applyFor(timeout string, base uint64, id string, weight int) (applyResult, int) {
 	f.t.Helper()
 	path := f.file("tree.ini", treeText(weight))
 	out, code := f.run("settings", "apply", "--to", strings.Join(f.control, ","), "--file", path,
 		"--base", fmt.Sprint(base), "--order-id", id, "--output", "json", "--timeout", timeout)
-	var result applied
+	var result applyResult
 	if start := strings.Index(out, "{"); start >= 0 {
 		_ = json.NewDecoder(strings.NewReader(out[start:])).Decode(&result)
 	}
