--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -18,9 +18,9 @@
 func TestStoriesOfFailedCalls(t *testing.T) {
 	// The cause of a failed call must be found by its id alone, in the mixed logs of
 	// several instances.
-	lines, unread, err := Read(strings.NewReader(testLog))
-	if err != nil || unread != 2 || len(lines) != 5 {
-		t.Fatalf("%d lines, %d unread, %v", len(lines), unread, err)
+	lines, skipped, err := Read(strings.NewReader(testLog))
+	if err != nil || skipped != 2 || len(lines) != 5 {
+		t.Fatalf("%d lines, %d skipped, %v", len(lines), skipped, err)
 	}
 	tests := []struct{ call, cause string }{
 		{"c-1", "It may have run; sends that failed before: i-7 (may-have-run): connection reset."},
--- a/explain/line.go
+++ b/explain/line.go
@@ -26,19 +26,19 @@
 
 // Read parses log lines. Text before the JSON object of a line, such as the prefix of
 // a log shipper, is ignored. Lines that are truncated or not log lines are skipped and
-// counted in unread.
-func Read(r io.Reader) (lines []Line, unread int, err error) {
+// counted in skipped.
+func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
 		line, ok := parse(scanner.Bytes())
 		if !ok {
-			unread++
+			skipped++
 			continue
 		}
 		lines = append(lines, line)
 	}
-	return lines, unread, errors.Wrap(scanner.Err(), "read a log")
+	return lines, skipped, errors.Wrap(scanner.Err(), "read a log")
 }
 
 func parse(text []byte) (Line, bool) {
--- a/explain/story.go
+++ b/explain/story.go
@@ -45,8 +45,8 @@
 	}
 	delete(upstreams, "")
 	for _, l := range lines {
-		about := slices.Contains(upstreamEvents, l.Event)
-		if about && upstreams[textOf(l.Fields["upstream"])] {
+		relevant := slices.Contains(upstreamEvents, l.Event)
+		if relevant && upstreams[textOf(l.Fields["upstream"])] {
 			story.Upstream = append(story.Upstream, l)
 		}
 	}
