--- a/losses/call.go
+++ b/losses/call.go
@@ -82,11 +82,11 @@
 	case eventCallerLeft:
 		return CallerLeft
 	}
-	return lateness(l, age)
+	return latenessCause(l, age)
 }
 
-// lateness compares an answer with its objectives, which start at the caller's first attempt.
-func lateness(l *explain.Line, age time.Duration) Cause {
+// latenessCause compares an answer with its objectives, which start at the caller's first attempt.
+func latenessCause(l *explain.Line, age time.Duration) Cause {
 	if status := numberOf(l, "status"); status >= 300 {
 		return UpstreamFault
 	}
--- a/losses/cause.go
+++ b/losses/cause.go
@@ -23,8 +23,8 @@
 	return []Cause{Refused, RefusedAgain, NoUpstream, NoHelper, UpstreamFault, Interrupted, CallerLeft, FirstEventLate, RetryLate, PauseTooLong}
 }
 
-// share returns the fraction of a call's value that is lost.
-func (c Cause) share() float64 {
+// lostFraction returns the fraction of a call's value that is lost.
+func (c Cause) lostFraction() float64 {
 	switch c {
 	case None:
 		return 0
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -21,9 +21,9 @@
 
 func linesOf(t *testing.T, lines ...string) []explain.Line {
 	t.Helper()
-	read, unread, err := explain.Read(strings.NewReader(strings.Join(lines, "")))
-	if err != nil || unread > 0 {
-		t.Fatalf("%d lines skipped, %v", unread, err)
+	read, skipped, err := explain.Read(strings.NewReader(strings.Join(lines, "")))
+	if err != nil || skipped > 0 {
+		t.Fatalf("%d lines skipped, %v", skipped, err)
 	}
 	return read
 }
@@ -57,7 +57,7 @@
 			}
 			continue
 		}
-		if len(table.Rows) != 1 || table.Rows[0].Cause != cause || table.Rows[0].Lost != cause.share() {
+		if len(table.Rows) != 1 || table.Rows[0].Cause != cause || table.Rows[0].Lost != cause.lostFraction() {
 			t.Errorf("%s: rows %+v", cause, table.Rows)
 		}
 	}
--- a/losses/moment.go
+++ b/losses/moment.go
@@ -29,7 +29,7 @@
 	eventServing     = 1100
 	eventLeaves      = 3029
 	eventSuspected   = 7007
-	eventMisplaced   = 7008
+	eventMisdirected = 7008
 	restartWindow    = 2 * time.Second // an instance is down before its restart is logged, and others may restart later
 	engineWindow     = 2 * time.Second // period in which calls of the upstream are affected
 	mixChangeWindow  = 4 * time.Second // time in which streams of the previous mix end
@@ -78,7 +78,7 @@
 			t.restarts = append(t.restarts, l.At)
 		}
 		seen[l.Instance] = true
-	case eventLeaves, eventSuspected, eventMisplaced:
+	case eventLeaves, eventSuspected, eventMisdirected:
 		t.engines = append(t.engines, l.At)
 	}
 }
@@ -97,11 +97,11 @@
 
 // at returns the moment at a time.
 func (t *timeline) at(now time.Time) Moment {
-	around := countAround(t.restarts, now, restartWindow)
+	nearbyRestarts := countAround(t.restarts, now, restartWindow)
 	switch {
-	case t.instances > 0 && float64(around) >= massRestartShare*float64(t.instances):
+	case t.instances > 0 && float64(nearbyRestarts) >= massRestartShare*float64(t.instances):
 		return MassRestart
-	case around > 0:
+	case nearbyRestarts > 0:
 		return InstanceLost
 	case countAround(t.engines, now, engineWindow) > 0:
 		return EngineLost
--- a/losses/reach.go
+++ b/losses/reach.go
@@ -26,7 +26,7 @@
 // in time and an upper bound by engine time alone. The number of engines over time is the one
 // that instances saw when they placed calls.
 func ReachOf(lines []explain.Line, profile *settings.EngineProfile) []Reach {
-	calls := promptsOf(lines)
+	calls := promptCalls(lines)
 	if len(calls) == 0 {
 		return nil
 	}
@@ -64,8 +64,8 @@
 	return list
 }
 
-// promptsOf returns the calls with prompts, except retries, in order of arrival.
-func promptsOf(lines []explain.Line) []call {
+// promptCalls returns the calls with prompts, except retries, in order of arrival.
+func promptCalls(lines []explain.Line) []call {
 	var calls []call
 	for i := range lines {
 		if c, ended := callOf(&lines[i]); ended && c.prompt > 0 && !c.retried {
--- a/losses/table.go
+++ b/losses/table.go
@@ -48,7 +48,7 @@
 	}
 	for i := range calls {
 		c := &calls[i]
-		moment, part := history.at(c.arrived), c.value/value[c.route]
+		moment, fraction := history.at(c.arrived), c.value/value[c.route]
 		o := demands[c.route]
 		if o == nil {
 			o = &RouteDemand{Route: c.route, ByMoment: map[Moment]float64{}}
@@ -56,7 +56,7 @@
 		}
 		o.Calls++
 		o.Prompt += c.prompt
-		o.ByMoment[moment] += part
+		o.ByMoment[moment] += fraction
 		if c.cause == None {
 			continue
 		}
@@ -66,7 +66,7 @@
 			r = &Row{Route: c.route, Cause: c.cause, ByMoment: map[Moment]float64{}}
 			rows[key] = r
 		}
-		lost := part * c.cause.share()
+		lost := fraction * c.cause.lostFraction()
 		r.Calls++
 		r.Lost += lost
 		r.ByMoment[moment] += lost
