--- a/cli/explain.go
+++ b/cli/explain.go
@@ -34,7 +34,7 @@
 			if skipped > 0 {
 				fmt.Fprintf(stderr, "celeryport: skipped %d lines that are not complete log lines\n", skipped)
 			}
-			story, found := explain.Tell(lines, c.Args().First())
+			story, found := explain.StoryOf(lines, c.Args().First())
 			if !found {
 				return errors.Newf("none of %d log lines names the call %s; it did not reach these instances, or their logs are not whole", len(lines), story.Call)
 			}
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -28,15 +28,15 @@
 		{"c-3", "No end is logged: front-3 was killed"},
 	}
 	for _, test := range tests {
-		story, found := Tell(lines, test.call)
+		story, found := StoryOf(lines, test.call)
 		if !found || !strings.Contains(story.Cause, test.cause) {
 			t.Errorf("%s: %q, want %q", test.call, story.Cause, test.cause)
 		}
 	}
-	if story, _ := Tell(lines, "c-1"); len(story.Upstream) != 1 || len(story.Lines) != 2 || story.Lines[0].Event != eventSendFailed {
+	if story, _ := StoryOf(lines, "c-1"); len(story.Upstream) != 1 || len(story.Lines) != 2 || story.Lines[0].Event != eventSendFailed {
 		t.Errorf("story of c-1: %+v", story)
 	}
-	if _, found := Tell(lines, "unknown"); found {
+	if _, found := StoryOf(lines, "unknown"); found {
 		t.Error("found a story of an unknown call")
 	}
 }
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if story, _ := Tell(lines, "c-1"); len(story.Upstream) != 2 {
+	if story, _ := StoryOf(lines, "c-1"); len(story.Upstream) != 2 {
 		t.Errorf("events of the upstream in the story: %+v", story.Upstream)
 	}
 }
--- a/explain/story.go
+++ b/explain/story.go
@@ -33,8 +33,8 @@
 	Cause    string // outcome and reason, in one sentence
 }
 
-// Tell returns the story of a call, or false if no line mentions it.
-func Tell(lines []Line, call string) (Story, bool) {
+// StoryOf returns the story of a call, or false if no line mentions it.
+func StoryOf(lines []Line, call string) (Story, bool) {
 	story := Story{Call: call}
 	upstreams := map[string]bool{}
 	for _, l := range lines {
