--- a/cli/losses.go
+++ b/cli/losses.go
@@ -43,7 +43,7 @@
 			if file := c.String(flagLossesDocument); file != "" {
 				return printReach(stdout, lines, file, c.Bool(flagLossesJSON))
 			}
-			table := losses.Of(lines)
+			table := losses.TableOf(lines)
 			if c.Bool(flagLossesJSON) {
 				return writeJSON(stdout, table)
 			}
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -30,7 +30,7 @@
 
 func tableOf(t *testing.T, lines ...string) Table {
 	t.Helper()
-	return Of(linesOf(t, lines...))
+	return TableOf(linesOf(t, lines...))
 }
 
 func TestLossesAreAttributedToCauses(t *testing.T) {
@@ -102,7 +102,7 @@
 }
 
 func TestEmptyLogsHaveNoLosses(t *testing.T) {
-	if table := Of(nil); len(table.Routes) != 0 || len(table.Rows) != 0 {
+	if table := TableOf(nil); len(table.Routes) != 0 || len(table.Rows) != 0 {
 		t.Errorf("%+v", table)
 	}
 }
--- a/losses/table.go
+++ b/losses/table.go
@@ -32,8 +32,8 @@
 	Rows   []Row         `json:"rows"`
 }
 
-// Of computes the losses of all calls that end in the lines.
-func Of(lines []explain.Line) Table {
+// TableOf computes the losses of all calls that end in the lines.
+func TableOf(lines []explain.Line) Table {
 	calls := make([]call, 0, len(lines))
 	for i := range lines {
 		if c, ended := callOf(&lines[i]); ended {
