--- a/losses/reach.go
+++ b/losses/reach.go
@@ -80,7 +80,7 @@
 // share of the decode passes of an engine with all slots in use. A missing answer counts
 // as empty, so that the result remains a lower bound.
 func engineTime(p *settings.EngineProfile, c *call) float64 {
-	step := p.Step.Seconds()/float64(max(1, p.Slots)) + p.StepPerWriter.Seconds()
+	step := p.Step.Seconds()/float64(max(1, p.Slots)) + p.StepPerSequence.Seconds()
 	return placement.PrefillTime(p, int(c.prompt)).Seconds() + c.events*float64(max(1, p.Stride))*step
 }
 
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -87,7 +87,7 @@
 	if streams == 0 {
 		return p.Step
 	}
-	return time.Duration(max(1, p.Stride)) * (p.Step + time.Duration(streams)*p.StepPerWriter)
+	return time.Duration(max(1, p.Stride)) * (p.Step + time.Duration(streams)*p.StepPerSequence)
 }
 
 // slotWait returns how long a call waits for a slot. It assumes that the running streams release
--- a/placement/scale_test.go
+++ b/placement/scale_test.go
@@ -16,7 +16,7 @@
 
 func (s timeScale) profile(p settings.EngineProfile) *settings.EngineProfile {
 	p.Step *= time.Duration(s)
-	p.StepPerWriter *= time.Duration(s)
+	p.StepPerSequence *= time.Duration(s)
 	p.StepPerContext *= time.Duration(s)
 	p.PairsPerM *= time.Duration(s)
 	p.Hop *= time.Duration(s)
