--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -111,7 +111,7 @@
 	// Two prompts of three engine seconds each arrive at once at two engines, with an
 	// objective of two seconds: the four engine seconds suffice for one prompt and a third
 	// of the other.
-	profile := &settings.EngineProfile{ReadRate: 1000, Slots: 1}
+	profile := &settings.EngineProfile{PrefillRate: 1000, Slots: 1}
 	prompt := `,"route":"long","objective_ms":1900,"pause_limit_ms":1000,"prompt":3000,"engines":2,"total_ms":0`
 	reach := ReachOf(linesOf(t,
 		logAt(1, 7003, prompt+`,"status":200,"first_ms":1500`),
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -70,10 +70,10 @@
 
 // PrefillTime returns how long an idle engine takes to prefill a prompt.
 func PrefillTime(p *settings.EngineProfile, tokens int) time.Duration {
-	if p.ReadRate <= 0 {
+	if p.PrefillRate <= 0 {
 		return 0
 	}
-	linear := float64(tokens) / p.ReadRate * float64(time.Second)
+	linear := float64(tokens) / p.PrefillRate * float64(time.Second)
 	pairs := float64(tokens) * float64(tokens) / 2 / 1e6 * float64(p.PairsPerM)
 	steps := 0.0
 	if p.Chunk > 0 {
--- a/placement/limits.go
+++ b/placement/limits.go
@@ -92,10 +92,10 @@
 
 // chunkTime returns the prefill time of a chunk at the start of a prompt.
 func chunkTime(p *settings.EngineProfile) time.Duration {
-	if p.ReadRate <= 0 {
+	if p.PrefillRate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(p.Chunk) / p.ReadRate * float64(time.Second))
+	return time.Duration(float64(p.Chunk) / p.PrefillRate * float64(time.Second))
 }
 
 // maxPassPrefill returns the maximum prefill time in one pass: a chunk in each step. An engine
@@ -108,7 +108,7 @@
 // tightStreamValue returns the value of a tight stream in prompt tokens: a typical short prompt
 // and its answer.
 func tightStreamValue(p *settings.EngineProfile) float64 {
-	return typicalShortPrefill(p).Seconds()*p.ReadRate + float64(answerTokenValue*p.UsualAnswer)
+	return typicalShortPrefill(p).Seconds()*p.PrefillRate + float64(answerTokenValue*p.UsualAnswer)
 }
 
 // FullWait returns how long a call waits for its first event on an engine with all slots taken:
--- a/placement/prompt_test.go
+++ b/placement/prompt_test.go
@@ -16,7 +16,7 @@
 // testProfile is a typical engine: it prefills 154 tokens per millisecond, and a pass of 34
 // steps takes 45 ms.
 var testProfile = &settings.EngineProfile{
-	Slots: 16, MemoryTokens: 405_000, Stride: 34, Step: 1310 * time.Microsecond, ReadRate: 154_000,
+	Slots: 16, MemoryTokens: 405_000, Stride: 34, Step: 1310 * time.Microsecond, PrefillRate: 154_000,
 	PairsPerM: 162 * time.Microsecond, Chunk: 2048, UsualPrompt: 11_000, UsualAnswer: 1_300,
 	LeastPause: 250 * time.Millisecond,
 }
--- a/placement/scale_test.go
+++ b/placement/scale_test.go
@@ -21,7 +21,7 @@
 	p.PairsPerM *= time.Duration(s)
 	p.Hop *= time.Duration(s)
 	p.LeastPause *= time.Duration(s)
-	p.ReadRate /= float64(s)
+	p.PrefillRate /= float64(s)
 	return &p
 }
 
--- a/settings/forwarding.go
+++ b/settings/forwarding.go
@@ -65,7 +65,7 @@
 	Step            time.Duration // base duration of a decode step, which yields one token per decoding request
 	StepPerSequence time.Duration // added to Step per decoding request
 	StepPerContext  time.Duration // added to Step per 1,000 tokens of a decoding request's context
-	ReadRate        float64       // prefill rate, in prompt tokens per second
+	PrefillRate     float64       // prefill rate, in prompt tokens per second
 	PairsPerM       time.Duration // prefill time per million pairs of a token and an earlier token
 	Chunk           int           // maximum prompt tokens per step
 	Hop             time.Duration // added to each step of a request whose prompt is spread over several engines
