--- a/settings/forwarding.go
+++ b/settings/forwarding.go
@@ -69,7 +69,7 @@
 	PrefillPerMPairs time.Duration // prefill time per million pairs of a token and an earlier token
 	Chunk            int           // maximum prompt tokens per step
 	Hop              time.Duration // added to each step of a request whose prompt is spread over several engines
-	UsualPrompt      int           // mean prompt tokens
+	MeanPrompt       int           // mean prompt tokens
 	UsualAnswer      int           // mean answer tokens
 	LeastPause       time.Duration // shortest LongPause of the routes to the service, 0 if none has one
 }
