--- a/placement/engine.go
+++ b/placement/engine.go
@@ -97,7 +97,7 @@
 	if waiting <= 0 || p.Slots == 0 {
 		return 0
 	}
-	usual := time.Duration(p.UsualAnswer) * p.Step
+	usual := time.Duration(p.MeanAnswer) * p.Step
 	return time.Duration(waiting) * usual / time.Duration(p.Slots)
 }
 
--- a/placement/limits.go
+++ b/placement/limits.go
@@ -108,13 +108,13 @@
 // tightStreamValue returns the value of a tight stream in prompt tokens: a typical short prompt
 // and its answer.
 func tightStreamValue(p *settings.EngineProfile) float64 {
-	return typicalShortPrefill(p).Seconds()*p.PrefillRate + float64(answerTokenValue*p.UsualAnswer)
+	return typicalShortPrefill(p).Seconds()*p.PrefillRate + float64(answerTokenValue*p.MeanAnswer)
 }
 
 // FullWait returns how long a call waits for its first event on an engine with all slots taken:
 // until the end of a typical answer that has just started.
 func FullWait(p *settings.EngineProfile) time.Duration {
-	passes := float64(p.UsualAnswer) / float64(max(1, p.Stride))
+	passes := float64(p.MeanAnswer) / float64(max(1, p.Stride))
 	return time.Duration(passes * float64(passTime(p, p.Slots)))
 }
 
--- a/settings/forwarding.go
+++ b/settings/forwarding.go
@@ -70,7 +70,7 @@
 	Chunk            int           // maximum prompt tokens per step
 	Hop              time.Duration // added to each step of a request whose prompt is spread over several engines
 	MeanPrompt       int           // mean prompt tokens
-	UsualAnswer      int           // mean answer tokens
+	MeanAnswer       int           // mean answer tokens
 	LeastPause       time.Duration // shortest LongPause of the routes to the service, 0 if none has one
 }
 
