--- a/placement/limits.go
+++ b/placement/limits.go
@@ -40,8 +40,8 @@
 
 // minPause returns the shortest pause between two events that any route allows.
 func minPause(p *settings.EngineProfile) time.Duration {
-	if p.LeastPause > 0 {
-		return p.LeastPause
+	if p.MinPause > 0 {
+		return p.MinPause
 	}
 	return defaultPausePasses * passTime(p, p.Slots)
 }
--- a/settings/forwarding_index.go
+++ b/settings/forwarding_index.go
@@ -50,8 +50,8 @@
 			if service == nil || service.Engine == nil || route.LongPause <= 0 {
 				continue
 			}
-			if e := service.Engine; e.LeastPause == 0 || route.LongPause < e.LeastPause {
-				e.LeastPause = route.LongPause
+			if e := service.Engine; e.MinPause == 0 || route.LongPause < e.MinPause {
+				e.MinPause = route.LongPause
 			}
 		}
 	}
