--- a/forward/send.go
+++ b/forward/send.go
@@ -155,7 +155,7 @@
 		return false
 	}
 	x.server.fleet.recordFailure(s.node)
-	return x.route.Repeat != settings.Never
+	return x.route.Repeat != settings.RepeatNever
 }
 
 // asyncWriteSize is the message size from which a call is written concurrently with reading the
--- a/settings/forwarding.go
+++ b/settings/forwarding.go
@@ -35,8 +35,8 @@
 type Repeat uint8
 
 const (
-	// Never allows a repeat only if the call is known not to have run.
-	Never Repeat = iota
+	// RepeatNever allows a repeat only if the call is known not to have run.
+	RepeatNever Repeat = iota
 	// Whole allows a repeat from the start.
 	Whole
 	// Rest allows the answer to be resumed after the last received event.
