--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -271,7 +271,7 @@
 		return true
 	}
 	switch x.route.Repeat {
-	case settings.Whole:
+	case settings.RepeatWhole:
 		return !x.writer.begun
 	case settings.Rest:
 		return o.verdict != verdict.Ran || o.ownFailure == nil
--- a/settings/forwarding.go
+++ b/settings/forwarding.go
@@ -37,8 +37,8 @@
 const (
 	// RepeatNever allows a repeat only if the call is known not to have run.
 	RepeatNever Repeat = iota
-	// Whole allows a repeat from the start.
-	Whole
+	// RepeatWhole allows a repeat from the start.
+	RepeatWhole
 	// Rest allows the answer to be resumed after the last received event.
 	Rest
 )
