--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -273,7 +273,7 @@
 	switch x.route.Repeat {
 	case settings.RepeatWhole:
 		return !x.writer.begun
-	case settings.Rest:
+	case settings.RepeatRest:
 		return o.verdict != verdict.Ran || o.ownFailure == nil
 	default:
 		return false
--- a/settings/forwarding.go
+++ b/settings/forwarding.go
@@ -39,8 +39,8 @@
 	RepeatNever Repeat = iota
 	// RepeatWhole allows a repeat from the start.
 	RepeatWhole
-	// Rest allows the answer to be resumed after the last received event.
-	Rest
+	// RepeatRest allows the answer to be resumed after the last received event.
+	RepeatRest
 )
 
 // ServiceShare is the weight of one service among a route's calls.
