--- a/settings/forwarding_index.go
+++ b/settings/forwarding_index.go
@@ -41,7 +41,7 @@
 	f.setMinPauses()
 }
 
-// setMinPauses sets the LeastPause of each engine service from the routes to it.
+// setMinPauses sets the MinPause of each engine service from the routes to it.
 func (f *Forwarding) setMinPauses() {
 	for i := range f.Routes {
 		route := &f.Routes[i]
