--- a/forward/conclude.go
+++ b/forward/conclude.go
@@ -115,7 +115,7 @@
 	if x.route != nil {
 		fields["route"] = x.route.Name
 		fields["objective_ms"] = x.route.Objective.Milliseconds()
-		fields["pause_limit_ms"] = x.route.LongPause.Milliseconds()
+		fields["pause_limit_ms"] = x.route.PauseLimit.Milliseconds()
 	}
 	if x.rejections > 0 {
 		fields["rejections"] = x.rejections
--- a/forward/grant_test.go
+++ b/forward/grant_test.go
@@ -68,7 +68,7 @@
 	now := time.Now()
 	x := &exchange{
 		server: s, call: &Call{ID: "call", PromptTokens: 180_000, PromptID: 7}, deadline: now.Add(10 * time.Second), began: now.Add(-5 * time.Second),
-		route:   &settings.Route{Objective: 4 * time.Second, LongPause: time.Second},
+		route:   &settings.Route{Objective: 4 * time.Second, PauseLimit: time.Second},
 		service: &s.options.Plane.View().Tree.Forwarding.Services[0],
 	}
 	if ask := x.newAsk(); ask.Objective != 4*time.Second || ask.Waited < 5*time.Second || ask.PromptID != 7 {
--- a/forward/place.go
+++ b/forward/place.go
@@ -125,7 +125,7 @@
 // passed.
 func (x *exchange) nextEvent(now time.Time) (objective, waited time.Duration) {
 	if x.events > 0 {
-		return x.route.LongPause, now.Sub(x.eventAt)
+		return x.route.PauseLimit, now.Sub(x.eventAt)
 	}
 	return x.route.Objective, now.Sub(x.began)
 }
--- a/forward/rates_test.go
+++ b/forward/rates_test.go
@@ -83,7 +83,7 @@
 		got := 0
 		for range 100 {
 			x := &exchange{
-				server: s, call: &Call{PromptTokens: 500, AnswerTokens: 100}, service: service, route: &settings.Route{Objective: 300 * time.Millisecond, LongPause: 250 * time.Millisecond, MaxSends: 2},
+				server: s, call: &Call{PromptTokens: 500, AnswerTokens: 100}, service: service, route: &settings.Route{Objective: 300 * time.Millisecond, PauseLimit: 250 * time.Millisecond, MaxSends: 2},
 				began: time.Now(), deadline: time.Now().Add(10 * time.Second),
 			}
 			s.budgets.recordCall(time.Now(), "model")
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -83,7 +83,7 @@
 	if !x.firstAt.IsZero() && x.age+x.firstAt.Sub(x.began) > x.route.Objective {
 		return true
 	}
-	return x.route.LongPause > 0 && x.longestPause > x.route.LongPause
+	return x.route.PauseLimit > 0 && x.longestPause > x.route.PauseLimit
 }
 
 // longPause returns the longest pause that the rest of the answer may have to be in time, 0 if
@@ -92,7 +92,7 @@
 	if x.late() {
 		return 0
 	}
-	return x.route.LongPause
+	return x.route.PauseLimit
 }
 
 // streamEnded completes the caller's answer.
--- a/forward/work_test.go
+++ b/forward/work_test.go
@@ -84,7 +84,7 @@
 
 func TestAnswerIsLateByItsFirstEventOrAPause(t *testing.T) {
 	began := time.Unix(1_700_000_000, 0)
-	route := &settings.Route{Objective: 300 * time.Millisecond, LongPause: 250 * time.Millisecond}
+	route := &settings.Route{Objective: 300 * time.Millisecond, PauseLimit: 250 * time.Millisecond}
 	for name, test := range map[string]struct {
 		x    exchange
 		late bool
--- a/settings/forwarding.go
+++ b/settings/forwarding.go
@@ -23,7 +23,7 @@
 	Prompt      bool          // calls carry a prompt of known length
 	Timeout     time.Duration // total time allowed for a call
 	Objective   time.Duration // target time to the whole answer, or to the first event of a stream
-	LongPause   time.Duration // target for the longest pause between two events
+	PauseLimit  time.Duration // target for the longest pause between two events
 	Priority    int           // 0 is the most urgent
 	MaxSends    int           // maximum number of upstreams that one call is sent to
 	Public      bool          // no API key is required
--- a/settings/forwarding_index.go
+++ b/settings/forwarding_index.go
@@ -47,11 +47,11 @@
 		route := &f.Routes[i]
 		for _, to := range route.Shares {
 			service := f.Service(to.Service)
-			if service == nil || service.Engine == nil || route.LongPause <= 0 {
+			if service == nil || service.Engine == nil || route.PauseLimit <= 0 {
 				continue
 			}
-			if e := service.Engine; e.MinPause == 0 || route.LongPause < e.MinPause {
-				e.MinPause = route.LongPause
+			if e := service.Engine; e.MinPause == 0 || route.PauseLimit < e.MinPause {
+				e.MinPause = route.PauseLimit
 			}
 		}
 	}
--- a/settings/pauses_test.go
+++ b/settings/pauses_test.go
@@ -11,7 +11,7 @@
 func TestEngineServicesGetShortestPauseOfTheirRoutes(t *testing.T) {
 	route := func(name, service string, pause time.Duration) Route {
 		return Route{
-			Name: name, Host: "h", PathPrefix: "/" + name + "/", Stream: true, Timeout: time.Second, LongPause: pause,
+			Name: name, Host: "h", PathPrefix: "/" + name + "/", Stream: true, Timeout: time.Second, PauseLimit: pause,
 			Shares: []ServiceShare{{Service: service, Weight: 1}},
 		}
 	}
