--- a/placement/limits.go
+++ b/placement/limits.go
@@ -40,8 +40,8 @@
 
 // minPause returns the shortest pause between two events that any route allows.
 func minPause(p *settings.EngineProfile) time.Duration {
-	if p.MinPause > 0 {
-		return p.MinPause
+	if p.MinPauseLimit > 0 {
+		return p.MinPauseLimit
 	}
 	return defaultPausePasses * passTime(p, p.Slots)
 }
--- a/placement/prompt_test.go
+++ b/placement/prompt_test.go
@@ -18,7 +18,7 @@
 var testProfile = &settings.EngineProfile{
 	Slots: 16, MemoryTokens: 405_000, Stride: 34, Step: 1310 * time.Microsecond, PrefillRate: 154_000,
 	PrefillPerMPairs: 162 * time.Microsecond, Chunk: 2048, MeanPrompt: 11_000, MeanAnswer: 1_300,
-	MinPause: 250 * time.Millisecond,
+	MinPauseLimit: 250 * time.Millisecond,
 }
 
 func testEngines(n int) []Engine {
@@ -477,7 +477,7 @@
 		t.Fatalf("plan %+v: rejected although all engines together can prefill it between two events of each stream", first)
 	}
 	pass := passTime(testProfile, 7)
-	if part := PrefillTime(testProfile, long.Prompt) / time.Duration(1+len(first.Helpers)); part+pass > testProfile.MinPause {
+	if part := PrefillTime(testProfile, long.Prompt) / time.Duration(1+len(first.Helpers)); part+pass > testProfile.MinPauseLimit {
 		t.Errorf("%d engines prefill parts of %s, and a pass takes %s", 1+len(first.Helpers), part, pass)
 	}
 	addPlan(engines, &first, &long)
--- a/placement/scale_test.go
+++ b/placement/scale_test.go
@@ -20,7 +20,7 @@
 	p.StepPerContext *= time.Duration(s)
 	p.PrefillPerMPairs *= time.Duration(s)
 	p.Hop *= time.Duration(s)
-	p.MinPause *= time.Duration(s)
+	p.MinPauseLimit *= time.Duration(s)
 	p.PrefillRate /= float64(s)
 	return &p
 }
--- a/settings/forwarding_index.go
+++ b/settings/forwarding_index.go
@@ -50,8 +50,8 @@
 			if service == nil || service.Engine == nil || route.PauseLimit <= 0 {
 				continue
 			}
-			if e := service.Engine; e.MinPause == 0 || route.PauseLimit < e.MinPause {
-				e.MinPause = route.PauseLimit
+			if e := service.Engine; e.MinPauseLimit == 0 || route.PauseLimit < e.MinPauseLimit {
+				e.MinPauseLimit = route.PauseLimit
 			}
 		}
 	}
--- a/settings/pauses_test.go
+++ b/settings/pauses_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	for name, want := range map[string]time.Duration{"model": 250 * time.Millisecond, "second": 100 * time.Millisecond} {
-		if got := forwarding.Service(name).Engine.MinPause; got != want {
+		if got := forwarding.Service(name).Engine.MinPauseLimit; got != want {
 			t.Errorf("the shortest pause of %s is %s, want %s", name, got, want)
 		}
 	}
