--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -104,7 +104,7 @@
 		ControlListen:    listener.Addr().String(),
 		Voter:            voter,
 		Voters:           f.voters,
-		Found:            true,
+		MayFoundGroup:    true,
 		InstanceKey:      testInstanceKey,
 		OperatorKeys:     []string{testOperatorKey},
 	}
--- a/control/openfolder.go
+++ b/control/openfolder.go
@@ -68,7 +68,7 @@
 // namedAsVoter reports whether the process settings name this instance among the voters
 // that found the group.
 func (n *Node) namedAsVoter() bool {
-	if !n.opts.Process.Found {
+	if !n.opts.Process.MayFoundGroup {
 		return false
 	}
 	for _, voter := range n.opts.Process.Voters {
--- a/control/repair_test.go
+++ b/control/repair_test.go
@@ -72,7 +72,7 @@
 	f.crash(lost)
 	f.putDocument(f.leader(), 2, testTree(2))
 	lost.process.DataFolder = t.TempDir()
-	lost.process.Found = false
+	lost.process.MayFoundGroup = false
 	f.start(lost, nil)
 	for _, m := range f.members {
 		f.await("the repaired group is known at "+m.process.Name, func() bool { return votersApplied(t, m, before) })
--- a/settings/process.go
+++ b/settings/process.go
@@ -18,7 +18,7 @@
 	DataFolder       string   // required for a voter
 	Voter            bool     // member of the control group
 	Voters           []Member // initial members of the control group, or instances to ask for the current ones
-	Found            bool     // whether the voters may found a new control group
+	MayFoundGroup    bool     // whether the voters may found a new control group
 	Losses           int      // simultaneous voter losses to tolerate; 0: operators replace voters
 	InstanceKey      string   // shared by the instances
 	OperatorKeys     []string
