--- a/instance/forwarding.go
+++ b/instance/forwarding.go
@@ -63,8 +63,8 @@
 func (f *forwarding) assemble() error {
 	p := f.options.Process
 	heal := 0
-	if p.Voter && p.Losses > 0 {
-		heal = 2*p.Losses + 1
+	if p.Voter && p.ToleratedLosses > 0 {
+		heal = 2*p.ToleratedLosses + 1
 	}
 	adapter := f.options.Adapter
 	var answer http.Handler
--- a/settings/process.go
+++ b/settings/process.go
@@ -19,7 +19,7 @@
 	Voter            bool     // member of the control group
 	Voters           []Member // initial members of the control group, or instances to ask for the current ones
 	MayFoundGroup    bool     // whether the voters may found a new control group
-	Losses           int      // simultaneous voter losses to tolerate; 0: operators replace voters
+	ToleratedLosses  int      // simultaneous voter losses to tolerate; 0: operators replace voters
 	InstanceKey      string   // shared by the instances
 	OperatorKeys     []string
 	UpstreamKeys     []string // accepted from upstreams that announce themselves
