--- a/losses/moment.go
+++ b/losses/moment.go
@@ -30,7 +30,7 @@
 	eventLeaves      = 3029
 	eventSuspected   = 7007
 	eventMisdirected = 7008
-	restartWindow    = 2 * time.Second // an instance is down before its restart is logged, and others may restart later
+	restartWindow    = 2 * time.Second // an instance is down before its restart is logged, and others may still be restarting after it
 	engineWindow     = 2 * time.Second // period in which calls of the upstream are affected
 	mixChangeWindow  = 4 * time.Second // time in which streams of the previous mix end
 	mixChangeFactor  = 2.5             // ratio between the work of long prompts of two spans
--- a/settings/forwarding.go
+++ b/settings/forwarding.go
@@ -71,7 +71,7 @@
 	Hop              time.Duration // added to each step of a request whose prompt is spread over several engines
 	MeanPrompt       int           // mean prompt tokens
 	MeanAnswer       int           // mean answer tokens
-	MinPauseLimit    time.Duration // shortest LongPause of the routes to the service, 0 if none has one
+	MinPauseLimit    time.Duration // shortest PauseLimit of the routes to the service, 0 if none has one
 }
 
 // CallerLimits bounds the size and the duration of callers' requests.
--- a/settings/forwarding_index.go
+++ b/settings/forwarding_index.go
@@ -38,11 +38,11 @@
 	for i := range f.Services {
 		f.services[f.Services[i].Name] = i
 	}
-	f.setMinPauses()
+	f.setMinPauseLimits()
 }
 
-// setMinPauses sets the MinPause of each engine service from the routes to it.
-func (f *Forwarding) setMinPauses() {
+// setMinPauseLimits sets the MinPauseLimit of each engine service from the routes to it.
+func (f *Forwarding) setMinPauseLimits() {
 	for i := range f.Routes {
 		route := &f.Routes[i]
 		for _, to := range route.Shares {
--- a/settings/pauses_test.go
+++ b/settings/pauses_test.go
@@ -6,7 +6,7 @@
 )
 
 // The engines of a service may prefill during decoding for as long as the shortest
-// LongPause of the service's routes permits. A value of another route or service
+// PauseLimit of the service's routes permits. A value of another route or service
 // would stall streams for too long or reject long prompts.
 func TestEngineServicesGetShortestPauseOfTheirRoutes(t *testing.T) {
 	route := func(name, service string, pause time.Duration) Route {
--- a/settings/source.go
+++ b/settings/source.go
@@ -46,7 +46,7 @@
 // maxQuoted bounds how much of an invalid value a fault quotes, in bytes.
 const maxQuoted = 40
 
-// quote formats an invalid value for a fault, truncated to longestQuote.
+// quote formats an invalid value for a fault, truncated to maxQuoted.
 func quote(text string) string {
 	if len(text) > maxQuoted {
 		text = text[:maxQuoted] + "..."
