--- a/settings/field.go
+++ b/settings/field.go
@@ -16,8 +16,8 @@
 	reset       func(target *T)
 }
 
-// key returns the field called name, which is stored where at points.
-func key[T, V any](name string, v value[V], defaultText string, at func(*T) *V, help string) field[T] {
+// key returns the field called name; locate returns where its value is stored.
+func key[T, V any](name string, v value[V], defaultText string, locate func(*T) *V, help string) field[T] {
 	return field[T]{
 		name:        name,
 		defaultText: defaultText,
@@ -28,12 +28,12 @@
 			if err != nil {
 				return err
 			}
-			*at(target) = parsed
+			*locate(target) = parsed
 			return nil
 		},
 		reset: func(target *T) {
 			var zero V
-			*at(target) = zero
+			*locate(target) = zero
 		},
 	}
 }
--- a/settings/forwarding.go
+++ b/settings/forwarding.go
@@ -84,11 +84,11 @@
 
 // Service returns the named service, nil if there is none.
 func (f *Forwarding) Service(name string) *ForwardedService {
-	at, found := f.services[name]
+	index, found := f.services[name]
 	if !found {
 		return nil
 	}
-	return &f.Services[at]
+	return &f.Services[index]
 }
 
 // Engines returns the names of the services whose upstreams are model engines.
--- a/settings/forwarding_index.go
+++ b/settings/forwarding_index.go
@@ -70,10 +70,10 @@
 
 // Choose returns a service by weight. draw is a random number in [0, 1).
 func (r *Route) Choose(draw float64) string {
-	at := draw * float64(r.TotalWeight)
+	remaining := draw * float64(r.TotalWeight)
 	for i := range r.Shares {
-		at -= float64(r.Shares[i].Weight)
-		if at < 0 {
+		remaining -= float64(r.Shares[i].Weight)
+		if remaining < 0 {
 			return r.Shares[i].Service
 		}
 	}
