--- a/arbiter/queue_test.go
+++ b/arbiter/queue_test.go
@@ -25,7 +25,7 @@
 	}
 	fleet := &Fleet{Profile: &settings.EngineProfile{
 		Slots: 16, MemoryTokens: 405_000, Stride: 34, Step: 1310 * time.Microsecond, PrefillRate: 154_000,
-		PrefillPerMPairs: 162 * time.Microsecond, Chunk: 2048, MinPauseLimit: 250 * time.Millisecond,
+		PairsPerM: 162 * time.Microsecond, Chunk: 2048, MinPauseLimit: 250 * time.Millisecond,
 	}}
 	for i := range w.engines {
 		key := loadshare.Key(i + 1)
--- a/forward/arbitration_test.go
+++ b/forward/arbitration_test.go
@@ -39,7 +39,7 @@
 	}
 	forwarding := &settings.Forwarding{Services: []settings.ForwardedService{{Name: "model", Engine: &settings.EngineProfile{
 		Slots: 16, MemoryTokens: 405_000, Stride: 34, Step: 1310 * time.Microsecond, PrefillRate: 154_000,
-		PrefillPerMPairs: 162 * time.Microsecond, Chunk: 2048, MinPauseLimit: 250 * time.Millisecond,
+		PairsPerM: 162 * time.Microsecond, Chunk: 2048, MinPauseLimit: 250 * time.Millisecond,
 	}}}}
 	tree, err := settings.NewForwardingTree("test", nil, forwarding)
 	if err != nil {
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -74,7 +74,7 @@
 		return 0
 	}
 	linear := float64(tokens) / p.PrefillRate * float64(time.Second)
-	pairs := float64(tokens) * float64(tokens) / 2 / 1e6 * float64(p.PrefillPerMPairs)
+	pairs := float64(tokens) * float64(tokens) / 2 / 1e6 * float64(p.PairsPerM)
 	steps := 0.0
 	if p.Chunk > 0 {
 		steps = float64(tokens) / float64(p.Chunk) * float64(p.Step)
--- a/placement/prompt_test.go
+++ b/placement/prompt_test.go
@@ -17,7 +17,7 @@
 // steps takes 45 ms.
 var testProfile = &settings.EngineProfile{
 	Slots: 16, MemoryTokens: 405_000, Stride: 34, Step: 1310 * time.Microsecond, PrefillRate: 154_000,
-	PrefillPerMPairs: 162 * time.Microsecond, Chunk: 2048, MeanPrompt: 11_000, MeanAnswer: 1_300,
+	PairsPerM: 162 * time.Microsecond, Chunk: 2048, MeanPrompt: 11_000, MeanAnswer: 1_300,
 	MinPauseLimit: 250 * time.Millisecond,
 }
 
--- a/placement/scale_test.go
+++ b/placement/scale_test.go
@@ -18,7 +18,7 @@
 	p.Step *= time.Duration(s)
 	p.StepPerSequence *= time.Duration(s)
 	p.StepPerContext *= time.Duration(s)
-	p.PrefillPerMPairs *= time.Duration(s)
+	p.PairsPerM *= time.Duration(s)
 	p.Hop *= time.Duration(s)
 	p.MinPauseLimit *= time.Duration(s)
 	p.PrefillRate /= float64(s)
@@ -45,7 +45,7 @@
 // by three, a fleet with room rejected one short prompt in eleven.
 func TestPlansDoNotDependOnTheTimeScale(t *testing.T) {
 	base := *testProfile
-	base.Step, base.PrefillPerMPairs = 1312*time.Microsecond, 164*time.Microsecond // divisible by the scales without remainder
+	base.Step, base.PairsPerM = 1312*time.Microsecond, 164*time.Microsecond // divisible by the scales without remainder
 	random := rand.New(rand.NewPCG(1, 2))
 	for at := range 3000 {
 		engines, call := randomEngines(random), randomCall(random)
--- a/settings/forwarding.go
+++ b/settings/forwarding.go
@@ -59,19 +59,19 @@
 
 // EngineProfile is the performance model of a service's engines.
 type EngineProfile struct {
-	Slots            int           // requests that run concurrently
-	MemoryTokens     int           // tokens of KV memory
-	Stride           int           // decode steps per pass while requests are decoding
-	Step             time.Duration // base duration of a decode step, which yields one token per decoding request
-	StepPerSequence  time.Duration // added to Step per decoding request
-	StepPerContext   time.Duration // added to Step per 1,000 tokens of a decoding request's context
-	PrefillRate      float64       // prefill rate, in prompt tokens per second
-	PrefillPerMPairs time.Duration // prefill time per million pairs of a token and an earlier token
-	Chunk            int           // maximum prompt tokens per step
-	Hop              time.Duration // added to each step of a request whose prompt is spread over several engines
-	MeanPrompt       int           // mean prompt tokens
-	MeanAnswer       int           // mean answer tokens
-	MinPauseLimit    time.Duration // shortest PauseLimit of the routes to the service, 0 if none has one
+	Slots           int           // requests that run concurrently
+	MemoryTokens    int           // tokens of KV memory
+	Stride          int           // decode steps per pass while requests are decoding
+	Step            time.Duration // base duration of a decode step, which yields one token per decoding request
+	StepPerSequence time.Duration // added to Step per decoding request
+	StepPerContext  time.Duration // added to Step per 1,000 tokens of a decoding request's context
+	PrefillRate     float64       // prefill rate, in prompt tokens per second
+	PairsPerM       time.Duration // prefill time per million pairs of a token and an earlier token
+	Chunk           int           // maximum prompt tokens per step
+	Hop             time.Duration // added to each step of a request whose prompt is spread over several engines
+	MeanPrompt      int           // mean prompt tokens
+	MeanAnswer      int           // mean answer tokens
+	MinPauseLimit   time.Duration // shortest PauseLimit of the routes to the service, 0 if none has one
 }
 
 // CallerLimits bounds the size and the duration of callers' requests.
