--- a/cli/settings_check.go
+++ b/cli/settings_check.go
@@ -13,19 +13,18 @@
 	"celeryport/settings"
 )
 
-// checkResult is what the check of one file found, in JSON.
+// checkResult is the result for one file, also in the JSON output.
 type checkResult struct {
 	File   string          `json:"file"`
 	Kind   string          `json:"kind"`
 	Faults settings.Faults `json:"faults"`
 }
 
-// settingsCheckCommand checks settings files of either kind without touching
-// anything else.
+// settingsCheckCommand validates settings files of both kinds offline.
 func settingsCheckCommand(stdout, _ io.Writer) *urfave.Command {
 	return &urfave.Command{
 		Name:      "check",
-		Usage:     "check settings files, trees as well as process settings",
+		Usage:     "check settings files, both trees and process settings",
 		ArgsUsage: "FILE...",
 		Flags:     []urfave.Flag{outputFlag(outputTable, outputJSON)},
 		Action: func(_ context.Context, c *urfave.Command) error {
@@ -57,8 +56,8 @@
 func checkFile(file string) checkResult {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		unread := settings.Fault{File: file, Problem: "can't be read: " + err.Error(), Allowed: "a readable file"}
-		return checkResult{File: file, Kind: "unknown", Faults: settings.Faults{unread}}
+		unreadable := settings.Fault{File: file, Problem: "can't be read: " + err.Error(), Allowed: "a readable file"}
+		return checkResult{File: file, Kind: "unknown", Faults: settings.Faults{unreadable}}
 	}
 	kind, err := settings.Check(file, text)
 	result := checkResult{File: file, Kind: kind.String()}
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -271,9 +271,9 @@
 		return true
 	}
 	switch x.route.Repeat {
-	case settings.Whole:
+	case settings.RepeatWhole:
 		return !x.writer.begun
-	case settings.Rest:
+	case settings.RepeatRest:
 		return o.verdict != verdict.Ran || o.ownFailure == nil
 	default:
 		return false
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -70,10 +70,10 @@
 
 // PrefillTime returns how long an idle engine takes to prefill a prompt.
 func PrefillTime(p *settings.EngineProfile, tokens int) time.Duration {
-	if p.ReadRate <= 0 {
+	if p.PrefillRate <= 0 {
 		return 0
 	}
-	linear := float64(tokens) / p.ReadRate * float64(time.Second)
+	linear := float64(tokens) / p.PrefillRate * float64(time.Second)
 	pairs := float64(tokens) * float64(tokens) / 2 / 1e6 * float64(p.PairsPerM)
 	steps := 0.0
 	if p.Chunk > 0 {
@@ -87,7 +87,7 @@
 	if streams == 0 {
 		return p.Step
 	}
-	return time.Duration(max(1, p.Stride)) * (p.Step + time.Duration(streams)*p.StepPerWriter)
+	return time.Duration(max(1, p.Stride)) * (p.Step + time.Duration(streams)*p.StepPerSequence)
 }
 
 // slotWait returns how long a call waits for a slot. It assumes that the running streams release
@@ -97,7 +97,7 @@
 	if waiting <= 0 || p.Slots == 0 {
 		return 0
 	}
-	usual := time.Duration(p.UsualAnswer) * p.Step
+	usual := time.Duration(p.MeanAnswer) * p.Step
 	return time.Duration(waiting) * usual / time.Duration(p.Slots)
 }
 
--- a/placement/limits.go
+++ b/placement/limits.go
@@ -40,8 +40,8 @@
 
 // minPause returns the shortest pause between two events that any route allows.
 func minPause(p *settings.EngineProfile) time.Duration {
-	if p.LeastPause > 0 {
-		return p.LeastPause
+	if p.MinPauseLimit > 0 {
+		return p.MinPauseLimit
 	}
 	return defaultPausePasses * passTime(p, p.Slots)
 }
@@ -92,10 +92,10 @@
 
 // chunkTime returns the prefill time of a chunk at the start of a prompt.
 func chunkTime(p *settings.EngineProfile) time.Duration {
-	if p.ReadRate <= 0 {
+	if p.PrefillRate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(p.Chunk) / p.ReadRate * float64(time.Second))
+	return time.Duration(float64(p.Chunk) / p.PrefillRate * float64(time.Second))
 }
 
 // maxPassPrefill returns the maximum prefill time in one pass: a chunk in each step. An engine
@@ -108,13 +108,13 @@
 // tightStreamValue returns the value of a tight stream in prompt tokens: a typical short prompt
 // and its answer.
 func tightStreamValue(p *settings.EngineProfile) float64 {
-	return typicalShortPrefill(p).Seconds()*p.ReadRate + float64(answerTokenValue*p.UsualAnswer)
+	return typicalShortPrefill(p).Seconds()*p.PrefillRate + float64(answerTokenValue*p.MeanAnswer)
 }
 
 // FullWait returns how long a call waits for its first event on an engine with all slots taken:
 // until the end of a typical answer that has just started.
 func FullWait(p *settings.EngineProfile) time.Duration {
-	passes := float64(p.UsualAnswer) / float64(max(1, p.Stride))
+	passes := float64(p.MeanAnswer) / float64(max(1, p.Stride))
 	return time.Duration(passes * float64(passTime(p, p.Slots)))
 }
 
--- a/placement/prompt_test.go
+++ b/placement/prompt_test.go
@@ -16,9 +16,9 @@
 // testProfile is a typical engine: it prefills 154 tokens per millisecond, and a pass of 34
 // steps takes 45 ms.
 var testProfile = &settings.EngineProfile{
-	Slots: 16, MemoryTokens: 405_000, Stride: 34, Step: 1310 * time.Microsecond, ReadRate: 154_000,
-	PairsPerM: 162 * time.Microsecond, Chunk: 2048, UsualPrompt: 11_000, UsualAnswer: 1_300,
-	LeastPause: 250 * time.Millisecond,
+	Slots: 16, MemoryTokens: 405_000, Stride: 34, Step: 1310 * time.Microsecond, PrefillRate: 154_000,
+	PairsPerM: 162 * time.Microsecond, Chunk: 2048, MeanPrompt: 11_000, MeanAnswer: 1_300,
+	MinPauseLimit: 250 * time.Millisecond,
 }
 
 func testEngines(n int) []Engine {
@@ -477,7 +477,7 @@
 		t.Fatalf("plan %+v: rejected although all engines together can prefill it between two events of each stream", first)
 	}
 	pass := passTime(testProfile, 7)
-	if part := PrefillTime(testProfile, long.Prompt) / time.Duration(1+len(first.Helpers)); part+pass > testProfile.LeastPause {
+	if part := PrefillTime(testProfile, long.Prompt) / time.Duration(1+len(first.Helpers)); part+pass > testProfile.MinPauseLimit {
 		t.Errorf("%d engines prefill parts of %s, and a pass takes %s", 1+len(first.Helpers), part, pass)
 	}
 	addPlan(engines, &first, &long)
--- a/placement/scale_test.go
+++ b/placement/scale_test.go
@@ -16,12 +16,12 @@
 
 func (s timeScale) profile(p settings.EngineProfile) *settings.EngineProfile {
 	p.Step *= time.Duration(s)
-	p.StepPerWriter *= time.Duration(s)
+	p.StepPerSequence *= time.Duration(s)
 	p.StepPerContext *= time.Duration(s)
 	p.PairsPerM *= time.Duration(s)
 	p.Hop *= time.Duration(s)
-	p.LeastPause *= time.Duration(s)
-	p.ReadRate /= float64(s)
+	p.MinPauseLimit *= time.Duration(s)
+	p.PrefillRate /= float64(s)
 	return &p
 }
 
--- a/settings/authenticate.go
+++ b/settings/authenticate.go
@@ -6,50 +6,48 @@
 	"encoding/hex"
 )
 
-// caller is one key of an organisation, as its hash.
-type caller struct {
+// callerKey maps the hash of one API key to its organisation.
+type callerKey struct {
 	digest       [sha256.Size]byte
 	organisation string
 }
 
-func newCallers(organisations []Organisation) []caller {
-	var callers []caller
+func newCallerKeys(organisations []Organisation) []callerKey {
+	var callerKeys []callerKey
 	for _, o := range organisations {
 		for _, hash := range o.KeySHA256 {
-			c := caller{organisation: o.Name}
+			c := callerKey{organisation: o.Name}
 			if _, err := hex.Decode(c.digest[:], []byte(hash)); err != nil {
-				continue // digestPattern let only hex through
+				continue // unreachable: digestPattern accepts only hex digits
 			}
-			callers = append(callers, c)
+			callerKeys = append(callerKeys, c)
 		}
 	}
-	return callers
+	return callerKeys
 }
 
-// Authenticate returns the organisation whose key a caller presents. Its time
-// does not depend on the key or on which entry matches, so that it can't be
-// used to guess keys bit by bit.
+// Authenticate returns the organisation that owns key. It takes the same time
+// whichever entry matches, so that timing reveals nothing about the keys.
 func (t *Tree) Authenticate(key string) (organisation string, ok bool) {
 	digest := sha256.Sum256([]byte(key))
 	found := -1
-	for i := range t.callers {
-		equal := subtle.ConstantTimeCompare(digest[:], t.callers[i].digest[:])
+	for i := range t.callerKeys {
+		equal := subtle.ConstantTimeCompare(digest[:], t.callerKeys[i].digest[:])
 		found = subtle.ConstantTimeSelect(equal, i, found)
 	}
 	if found < 0 {
 		return "", false
 	}
-	return t.callers[found].organisation, true
+	return t.callerKeys[found].organisation, true
 }
 
-// HashKey returns the form in which a key stands in a settings tree.
+// HashKey returns the hex SHA-256 of a key, as it is stored in a settings tree.
 func HashKey(key string) string {
 	digest := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(digest[:])
 }
 
-// MatchKey reports whether key is one of the accepted ones, in a time that does
-// not depend on how much of it is right.
+// MatchKey reports whether key is one of the accepted keys, in constant time.
 func MatchKey(key string, accepted []string) bool {
 	digest := sha256.Sum256([]byte(key))
 	match := 0
