--- a/control/claimvoter.go
+++ b/control/claimvoter.go
@@ -47,7 +47,7 @@
 }
 
 // openClaims opens the stored votes of a voter. The lifetime of keys is taken from the
-// settings at the start of the process.
+// settings at the start of the process; updateLifetime applies later changes.
 func openClaims(n *Node, folder dataFolder, id consensus.ID, lifetime time.Duration) (*claimVoter, error) {
 	records, raw, err := wal.OpenRecords(filepath.Join(folder.path, claimsFolder), folder.fs, wal.Options{Logger: n.log})
 	if err != nil {
@@ -197,7 +197,7 @@
 	}
 }
 
-var errVoterFailed = verdict.Refuse(verdict.ReasonStorageFailed, 0, "this voter can't keep votes any more")
+var errVoterFailed = verdict.Refuse(verdict.ReasonStorageFailed, 0, "this voter can no longer store votes")
 
 // fail rejects all further requests. A vote that could not be synced must not be given,
 // and none that was given may be lost.
--- a/control/core.go
+++ b/control/core.go
@@ -25,7 +25,7 @@
 	self           membership.Instance
 	connected      bool      // the last sync succeeded
 	syncedAt       time.Time // time of the last successful sync
-	accepted       bool      // a leader has accepted a statement of this incarnation
+	accepted       bool      // a leader has accepted this incarnation of the instance
 	defunct        bool      // another process has taken over the name
 	installed      installed
 	failedRevision uint64 // last revision that could not be installed
@@ -33,7 +33,7 @@
 	members        memberList
 	heard          *upstream.Registry // announcements received directly, to be sent to the leader
 	known          *upstream.Registry // all known announcements
-	out            outbox             // batches of heard for the leader
+	out            outbox             // batches of the announcements in heard, for the leader
 	received       *relay.Receiver    // batches from the leader
 	grants         []quota.Grant
 	initialTree    []byte // initial settings tree, for a group that has never accepted one
--- a/control/delivery.go
+++ b/control/delivery.go
@@ -56,7 +56,7 @@
 }
 
 // errUndelivered is returned when no leader acknowledged the update before the deadline.
-var errUndelivered = verdict.Refuse(verdict.ReasonNoQuorum, time.Second, "no leader took it in in time")
+var errUndelivered = verdict.Refuse(verdict.ReasonNoQuorum, time.Second, "no leader acknowledged the update in time")
 
 // propagate returns when a leader has acknowledged everything that this instance knows at
 // the time of the call. Only then may the caller be answered: a leaving upstream relies on
@@ -71,11 +71,11 @@
 	err := n.do(ctx, func(now time.Time) { wanted = n.core.gatherPosition(now) })
 	for err == nil {
 		synced := n.syncOnce(ctx, 0)
-		var taken bool
-		if err = n.do(ctx, func(time.Time) { taken = n.core.position.heardUpTo >= wanted }); err != nil {
+		var delivered bool
+		if err = n.do(ctx, func(time.Time) { delivered = n.core.position.heardUpTo >= wanted }); err != nil {
 			break
 		}
-		if synced == nil && taken {
+		if synced == nil && delivered {
 			return nil
 		}
 		if !clock.Pause(ctx, n.opts.Timing.Retry) {
--- a/control/documents_test.go
+++ b/control/documents_test.go
@@ -57,7 +57,7 @@
 		{"an older one", 2, 8, testTree(8)},
 		{"the same again, at another voter", 2, 9, testTree(9)},
 		{"other content under the same version", 0, 9, testTree(10)},
-		{"the same again, at an instance that is no voter", 3, 9, testTree(9)},
+		{"the same again, at an instance that is not a voter", 3, 9, testTree(9)},
 	}
 	for _, test := range tests {
 		if got := f.putDocument(f.members[test.at], test.version, test.text); got.Kind != state.Superseded {
--- a/control/evidence.go
+++ b/control/evidence.go
@@ -17,8 +17,9 @@
 	// maxEvidence limits the evidence queued on an instance, and the evidence in one
 	// report.
 	maxEvidence = 256
-	// evidenceDelay is the time for which evidence is collected into one log entry, for
-	// instance when an upstream crashes with many requests running.
+	// evidenceDelay is the time for which an instance collects evidence before it sends a
+	// report, so that the evidence of an upstream that crashes with many requests running
+	// is committed in one log entry.
 	evidenceDelay = 10 * time.Millisecond
 	// evidenceTimeout limits one attempt to reach the leader.
 	evidenceTimeout = 2 * time.Second
--- a/control/evidence_batch.go
+++ b/control/evidence_batch.go
@@ -14,8 +14,8 @@
 const (
 	// batchDelay is the time for which a leader collects evidence for one log entry. When
 	// an upstream crashes, several instances report the requests they had there. If each
-	// report were decided separately, a request that only ran beside the cause could be
-	// quarantined before it.
+	// report were decided separately, a request that merely ran at the same time as the one
+	// that caused the crash could be quarantined before it.
 	batchDelay = 50 * time.Millisecond
 	// maxBatched limits the evidence in one log entry.
 	maxBatched = 4096
@@ -33,7 +33,7 @@
 	// stop at.
 	errOldVoters = verdict.Refuse(verdict.ReasonConflict, time.Second, "not every voter is upgraded")
 	// errBatchFull rejects evidence while too much is already queued.
-	errBatchFull = verdict.Refuse(verdict.ReasonQueueFull, time.Second, "too much evidence waits")
+	errBatchFull = verdict.Refuse(verdict.ReasonQueueFull, time.Second, "too much evidence is queued")
 )
 
 // proposeEvidence commits evidence in one entry with the evidence that other instances
@@ -85,7 +85,7 @@
 		n.core.group.propose(now, &state.Command{At: now.Round(0).UTC(), Evidence: batch.evidence}, done)
 	})
 	if err != nil {
-		return // the node has stopped, which all waiting callers detect themselves
+		return // the node has stopped or accepted no task in time; waiting callers end with the node or their context
 	}
 	_, batch.err = n.awaitProposal(ctx, done)
 	close(batch.done)
--- a/control/evidence_test.go
+++ b/control/evidence_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// stateLogVersion states a voter again, with the given version of log entries that it can
-// read.
+// stateLogVersion makes a voter report to the leader, under a new incarnation, that it can
+// read log entries up to the given version.
 func (f *fleet) stateLogVersion(m *testNode, version int) {
 	f.t.Helper()
 	err := m.node.do(f.t.Context(), func(time.Time) {
--- a/control/fanout.go
+++ b/control/fanout.go
@@ -52,7 +52,7 @@
 	return f.core.connected && now.Sub(f.core.syncedAt) <= f.core.timing.Contact
 }
 
-// accept processes a sync and holds it until there is a change.
+// accept processes a sync, and answers it or holds it until there is a change.
 func (f *fanout) accept(now, arrivedAt time.Time, request *syncRequest, reply chan<- *syncResponse) {
 	if request.Probe {
 		revision, _ := f.core.newestText()
@@ -144,10 +144,10 @@
 	return held, next
 }
 
-// hasUpdates reports whether an instance must be answered at once: because of new settings, a
-// leaving upstream, or a change of the quarantined requests. Instances that join or leave
-// wait for the next response. Otherwise, when a whole fleet starts, each instance would
-// wake all the others.
+// hasUpdates reports whether an instance must be answered at once: because of new settings,
+// a leaving upstream, or a change of the quarantined requests. News of instances that join
+// or leave waits for the next response. Otherwise, when a whole fleet starts, each instance
+// would wake all the others.
 func (f *fanout) hasUpdates(r *syncRequest, revision uint64) bool {
 	return r.Epoch != f.epoch || r.Instance.Revision < revision || r.Upstreams < f.urgent || f.core.group.quarantineAfter(r) != nil
 }
--- a/control/fleetanswer.go
+++ b/control/fleetanswer.go
@@ -12,8 +12,8 @@
 
 // fleetAnswer is the known fleet, encoded and compressed once for all instances that
 // request it. When hundreds of instances that were killed at once come back, each asks
-// each voter until one answers; encoding the fleet for each of them would use up the
-// voters' processor time and delay every instance.
+// each voter until one answers. Encoding the fleet for each of them would use up the
+// voters' processor time, and none of the instances could serve requests meanwhile.
 type fleetAnswer struct {
 	remembered
 
@@ -66,7 +66,7 @@
 func (f *fleetAnswer) UnmarshalJSON(data []byte) error {
 	if len(data) > 0 && data[0] == '"' {
 		if err := json.Unmarshal(data, &f.packed); err != nil {
-			return errors.Wrap(err, "decode a packed fleet")
+			return errors.Wrap(err, "decode a compressed fleet")
 		}
 		var err error
 		if data, err = pack.Unpack(f.packed); err != nil {
--- a/control/founding.go
+++ b/control/founding.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// decideFounding asks all voters and returns the founding configuration, or an empty one if this
-// voter is not a member.
+// decideFounding asks all voters and returns the founding configuration, or an empty one if
+// this voter is not a member.
 func (n *Node) decideFounding(ctx context.Context) (consensus.Configuration, bool) {
 	var all consensus.Configuration
 	complete := true
@@ -119,7 +119,7 @@
 	}
 	data, err := json.Marshal(founding)
 	if err != nil {
-		return errors.Wrap(err, "encode the founding")
+		return errors.Wrap(err, "encode the founding configuration")
 	}
 	if err := g.core.installed.folder.write(foundingFile, data); err != nil {
 		return err
@@ -136,7 +136,7 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, errors.Wrap(err, "read the founding")
+		return nil, errors.Wrap(err, "read the founding configuration")
 	}
 	var founding consensus.Configuration
 	return &founding, errors.Wrap(json.Unmarshal(data, &founding), "the founding file is damaged")
--- a/control/grouproles.go
+++ b/control/grouproles.go
@@ -42,7 +42,7 @@
 }
 
 // handOver transfers the leadership to the voter with the most complete log, before this
-// instance stops.
+// instance drains or is removed from the voters.
 func (g *group) handOver(now time.Time) {
 	if g.node == nil {
 		return
--- a/control/initialtree.go
+++ b/control/initialtree.go
@@ -21,7 +21,7 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return errors.Wrap(err, "read the first settings tree")
+		return errors.Wrap(err, "read the initial settings tree")
 	}
 	if _, err := c.node.opts.Parse(path, text); err != nil {
 		return err
@@ -33,10 +33,10 @@
 // applyInitialTree proposes the initial tree once, if no tree has ever been accepted. Its
 // base is 0, so it loses against any operator's order that was accepted before it.
 func (l *leader) applyInitialTree(now time.Time) {
-	if l.initialAsked || l.core.initialTree == nil || l.core.group.machine.Current().Number > 0 {
+	if l.initialProposed || l.core.initialTree == nil || l.core.group.machine.Current().Number > 0 {
 		return
 	}
-	l.initialAsked = true
+	l.initialProposed = true
 	command := state.Command{
 		At:       now.Round(0).UTC(),
 		Lifetime: l.core.orderLifetime(),
--- a/control/issuer.go
+++ b/control/issuer.go
@@ -33,10 +33,10 @@
 }
 
 func (l *leader) proposeIssuer(now time.Time) {
-	if l.issuerAsked {
+	if l.issuerProposed {
 		return
 	}
-	l.issuerAsked = true
+	l.issuerProposed = true
 	command := state.Command{
 		At:     now.Round(0).UTC(),
 		Issuer: &state.AssignIssuer{Holder: l.core.self.Name, Incarnation: l.core.self.Incarnation},
--- a/control/leader.go
+++ b/control/leader.go
@@ -12,22 +12,22 @@
 // leader is the state that a voter has only while it leads: the membership table, the
 // syncs that it holds, and which accepted settings are in force.
 type leader struct {
-	core         *core
-	epoch        string
-	term         uint64
-	table        *membership.Table
-	polls        []poll
-	allocation   *allocation
-	inForce      uint64 // latest revision known to be in force
-	ids          map[string]consensus.ID
-	initialAsked bool
-	issuerAsked  bool
-	issuerAt     time.Time        // when this leader became the issuer of engine orders
-	inboxes      map[string]inbox // by instance
-	confirmed    confirmations
-	since        time.Time      // when this leader began to lead
-	healAt       time.Time      // when to check the voters next
-	evidence     *evidenceBatch // batch being collected, nil if none
+	core            *core
+	epoch           string
+	term            uint64
+	table           *membership.Table
+	polls           []poll
+	allocation      *allocation
+	inForce         uint64                  // latest revision known to be in force
+	ids             map[string]consensus.ID // voter IDs by instance name
+	initialProposed bool                    // the initial settings tree has been proposed
+	issuerProposed  bool                    // this leader has been proposed as the issuer of engine orders
+	issuerAt        time.Time               // when this leader became the issuer of engine orders
+	inboxes         map[string]inbox        // by instance
+	confirmed       confirmations
+	since           time.Time      // when this leader began to lead
+	healAt          time.Time      // when to check the voters next
+	evidence        *evidenceBatch // batch being collected, nil if none
 }
 
 // poll is a sync whose response is held until there is a change.
--- a/control/memberdelta.go
+++ b/control/memberdelta.go
@@ -44,7 +44,7 @@
 func (d *memberDelta) UnmarshalJSON(data []byte) error {
 	if len(data) > 0 && data[0] == '"' {
 		if err := json.Unmarshal(data, &d.packed); err != nil {
-			return errors.Wrap(err, "decode packed instances")
+			return errors.Wrap(err, "decode compressed instances")
 		}
 		var err error
 		if data, err = pack.Unpack(d.packed); err != nil {
--- a/control/node.go
+++ b/control/node.go
@@ -121,11 +121,11 @@
 	return n.propagate(ctx)
 }
 
-// Leave takes an incarnation of an upstream out of service at the upstream's own request,
-// and returns when the leader has it; upstream.UnknownIncarnation stands for the known incarnation.
-// An upstream that is not known here is either unknown everywhere, or will be received as
-// leaving from the instances that know it. A request for an earlier incarnation has no
-// effect.
+// Leave marks an incarnation of an upstream as leaving, at the upstream's own request, and
+// returns when the leader has the change; upstream.UnknownIncarnation stands for the
+// incarnation known here. Nothing is done for an upstream that is not known here: either
+// no instance knows it, or the instances that do will announce that it is leaving. A
+// request for an earlier incarnation has no effect.
 func (n *Node) Leave(ctx context.Context, name string, incarnation uint64) error {
 	var known upstream.Announcement
 	var found bool
--- a/control/openfolder.go
+++ b/control/openfolder.go
@@ -20,7 +20,7 @@
 		return nil
 	}
 	if err := folder.fs.MakeFolder(folder.path); err != nil {
-		return errors.Wrap(err, "make the data folder")
+		return errors.Wrap(err, "create the data folder")
 	}
 	if err := c.installed.load(); err != nil || !c.node.opts.Process.Voter {
 		return err
--- a/control/peer.go
+++ b/control/peer.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// sendAll queues the messages for the peers. The entries that they acknowledge must have
-// been synced before.
+// sendAll queues the messages for the peers. The state that the messages depend on must
+// have been synced before.
 func (g *group) sendAll(messages []consensus.Message) {
 	if len(messages) == 0 {
 		return
--- a/control/provisional.go
+++ b/control/provisional.go
@@ -14,7 +14,7 @@
 type provisional struct {
 	Revision uint64      `json:"revision"`
 	Text     []byte      `json:"text,omitempty"` // empty for an instance that has settings
-	Fleet    fleetAnswer `json:"fleet,omitzero"` // empty for an instance that knows as many upstreams
+	Fleet    fleetAnswer `json:"fleet,omitzero"` // empty for an instance that knows at least as many upstreams
 }
 
 // provisionalFor returns the provisional response to an instance that no leader has
@@ -52,7 +52,7 @@
 }
 
 // applyProvisional installs provisional settings if none are installed, and adds the
-// fleet, unless a leader has accepted this instance.
+// fleet. It does nothing once a leader has accepted this instance.
 func (c *core) applyProvisional(now time.Time, p *provisional) {
 	if p == nil || c.accepted {
 		return
--- a/control/relaying.go
+++ b/control/relaying.go
@@ -7,7 +7,7 @@
 	"celeryport/upstream"
 )
 
-// relayInterval is the shortest time between two batches of a leader. Several changes of
+// relayInterval is the shortest time between two batches of an outbox. Several changes of
 // an upstream within it are sent as one.
 const relayInterval = 250 * time.Millisecond
 
--- a/control/repair.go
+++ b/control/repair.go
@@ -4,7 +4,7 @@
 
 // knownVoters is a leader's knowledge of the data folders that may vote.
 type knownVoters struct {
-	live    []consensus.Member // members whose instances report to the leader
+	live    []consensus.Member // data folders whose instances report to the leader, members of the group or not
 	settled bool               // the leader has led long enough to know every live instance
 }
 
--- a/control/replace_test.go
+++ b/control/replace_test.go
@@ -28,7 +28,7 @@
 			return v.ID
 		}
 	}
-	f.t.Fatalf("%s is no voter: %+v", n.process.Name, status.Voters)
+	f.t.Fatalf("%s is not a voter: %+v", n.process.Name, status.Voters)
 	return ""
 }
 
--- a/control/restart_test.go
+++ b/control/restart_test.go
@@ -34,7 +34,7 @@
 	// An engine that drained restarts under its old ID and numbers its messages from one
 	// again. Messages of the former process, a delayed heartbeat and its leaving
 	// announcement, arrive afterwards. If one of them were accepted, the engine would get
-	// no requests for the rest of its life.
+	// no requests until its next restart.
 	t.Parallel()
 	f := newFleet(t, 3, 1)
 	first := f.apply(0, "a", testTree(1))
@@ -65,7 +65,7 @@
 }
 
 func TestInvalidAnnouncementsAreCounted(t *testing.T) {
-	// Another program sends announcements that are no valid engines, many times a second.
+	// Another program sends announcements that name no valid engine, many times a second.
 	// Operators must see that, and the log must not fill up with it.
 	t.Parallel()
 	f := newFleet(t, 1, 0)
--- a/control/search.go
+++ b/control/search.go
@@ -21,8 +21,9 @@
 	request  *syncRequest
 }
 
-// isEmpty reports whether the answer is an error, or names no leader and provides no
-// settings.
+// isEmpty reports whether the answer is of no use: it is an error, a redirect that names no
+// leader and brings no provisional state, or, for an instance without settings, the answer
+// of a voter that has neither settings nor contact with a leader.
 func (a *searchAnswer) isEmpty(bare bool) bool {
 	switch {
 	case a.err != nil:
@@ -54,9 +55,9 @@
 }
 
 // search asks all known voters at once, so that the instance finds a new leader as soon as
-// there is one. If voters were asked in sequence, each one without power would cost a
-// whole timeout, while the others still name it as the leader: instances then kept old
-// settings for three seconds after a new leader had been elected.
+// there is one. If voters were asked in sequence, a voter that has lost power would cost a
+// whole timeout each time, while the others still name it as the leader: instances then
+// kept old settings for three seconds after a new leader had been elected.
 //
 // An instance without settings starts with one voter and asks another whenever an answer
 // is empty or late. After a restart of the whole fleet all instances request all settings,
@@ -178,10 +179,10 @@
 	if len(a.response.Text) > 0 {
 		_, _ = n.parsed.parse("accepted settings", a.response.Text) // the installation meets the same error, and logs it
 	}
-	var taken error
-	err := n.do(ctx, func(now time.Time) { taken = n.core.applySync(now, a) })
+	var applyErr error
+	err := n.do(ctx, func(now time.Time) { applyErr = n.core.applySync(now, a) })
 	if err != nil {
 		return err
 	}
-	return taken
+	return applyErr
 }
--- a/control/syncapply.go
+++ b/control/syncapply.go
@@ -93,10 +93,10 @@
 	c.connected, c.syncedAt = true, now
 }
 
-// superseded handles the response that a higher incarnation of this name is known. A
-// process that was never accepted drew its incarnation from a clock that had gone back,
-// and draws a higher one. A process that was accepted before has a successor, and must
-// stop admitting requests.
+// superseded handles the response that a higher incarnation of this name is known. If no
+// leader has accepted this process yet, it chose its incarnation by a clock that had been
+// set back, and chooses a higher one. If a leader has accepted it before, another process
+// has taken over the name, and this one must stop admitting requests.
 func (c *core) superseded(known uint64) error {
 	if !c.accepted {
 		return c.renewIncarnation(known)
