--- a/consensus/compaction.go
+++ b/consensus/compaction.go
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// trailingFrom returns the index up to which a snapshot at the given index lets
-// the log be compacted. The entries after it are kept.
+// trailingFrom returns the index up to which the log is compacted after a snapshot
+// at the given index. The entries after the returned index are kept.
 func (n *Node) trailingFrom(index uint64) uint64 {
 	bytes := 0
 	for kept := uint64(0); kept < n.trailing && index > n.log.base.index; kept++ {
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// becomeFollower ends the node's present role. A higher term also replaces the
-// leader and the vote known for the old term.
+// becomeFollower ends the node's present role and sets the known leader, empty if
+// there is none. A higher term also clears the vote of the old term.
 func (n *Node) becomeFollower(now time.Time, term uint64, leader ID) {
 	if n.role == Leader {
 		n.leaveLeadership(now)
--- a/consensus/replicate.go
+++ b/consensus/replicate.go
@@ -65,7 +65,7 @@
 	n.send(Message{Kind: SnapshotRequest, To: p.id, Round: n.leadership.rounds.last(), Snapshot: &s})
 }
 
-// resendLateSnapshots sends snapshots again that were not confirmed in time.
+// resendLateSnapshots resends snapshots that were not confirmed in time.
 // Without it, one lost message would leave a member behind permanently.
 func (n *Node) resendLateSnapshots() {
 	for i := range n.leadership.peers {
--- a/consensus/step.go
+++ b/consensus/step.go
@@ -25,8 +25,8 @@
 	return n.dispatch(now, m)
 }
 
-// adoptTerm updates the node to the higher term of a message. It returns false if
-// the message must be dropped.
+// adoptTerm updates the node to the higher term of a message, unless that term is
+// only proposed in a pre-vote. It returns false if the message must be dropped.
 func (n *Node) adoptTerm(now time.Time, m Message) bool {
 	switch m.Kind {
 	case PreVoteRequest:
