--- a/claim/copier.go
+++ b/claim/copier.go
@@ -25,7 +25,7 @@
 type copier struct {
 	target   Epoch                         // epoch being completed; Number is zero if there is none
 	received map[consensus.ID]*partialCopy // buckets received from each voter
-	copied   map[consensus.ID]uint64       // voters copied completely, with the epoch up to which each was complete
+	copied   map[consensus.ID]uint64       // voters copied completely, with the epoch up to which each was at least complete
 }
 
 // partialCopy records the buckets received from one voter. complete is the lowest
--- a/claim/record.go
+++ b/claim/record.go
@@ -36,7 +36,7 @@
 		return Record{}, errors.Wrap(err, "claim record")
 	}
 	if (r.Vote == nil) == (r.Epoch == nil) {
-		return Record{}, errors.New("claim record: exactly one of vote and epoch belongs in it")
+		return Record{}, errors.New("claim record: exactly one of vote and epoch must be set")
 	}
 	return r, nil
 }
