--- a/membership/table.go
+++ b/membership/table.go
@@ -45,9 +45,9 @@
 // Reports of one instance may arrive over two paths and out of order. A report that is older
 // than the last known one is ignored, and a draining instance stays draining.
 //
-// Such an instance does not admit calls by a lease, but each of its reports counts as one:
-// no revision is considered in force while the instance is live and has confirmed only an
-// older revision.
+// An instance whose reports are forwarded does not admit calls by a lease, but each of its
+// reports counts as the grant of one: no revision is considered in force while the instance
+// is live and has confirmed only an older revision.
 func (t *Table) RecordForwarded(now time.Time, age time.Duration, i Instance) Verdict {
 	heardAt := now.Add(-age)
 	if known, found := t.members[i.Name]; found && known.instance.Incarnation == i.Incarnation {
