--- a/control/events.go
+++ b/control/events.go
@@ -26,7 +26,7 @@
 	eventLeadershipLost = event.Define(3011, logrus.InfoLevel, "no longer leads the control group",
 		"Another voter leads now, or this voter lost contact with the majority.")
 	eventStorageFailed = event.Define(3012, logrus.ErrorLevel, "data folder failed",
-		"A write or sync of the log failed. The voter stops taking part at once, because it could not keep its promises, and resumes after all of its state has been rewritten. Free disk space or replace the disk.")
+		"A write or sync of the log failed. The voter stops taking part at once, because it cannot guarantee that what it acknowledges is stored, and resumes after all of its state has been rewritten. Free disk space or replace the disk.")
 	eventNotMember = event.Define(3013, logrus.WarnLevel, "voter is not a member of the control group",
 		"The data folder is new and the control group was founded without it, for instance after the loss of a disk. Make it a member with: celeryport voter replace.")
 	eventFounded = event.Define(3014, logrus.InfoLevel, "control group founded",
--- a/control/group.go
+++ b/control/group.go
@@ -104,11 +104,11 @@
 	return nil
 }
 
-// fail stops this voter's part in consensus after a failed write or sync. None of its
-// promises since the last successful sync can be relied on, and a sync repeated after a
-// failed one can succeed without having written anything; so nothing is synced again in
-// place. The instance continues with another voter as leader until reopen has rewritten
-// everything to new files.
+// fail stops this voter's part in consensus after a failed write or sync. Nothing written
+// since the last successful sync can be relied on, and a sync repeated after a failed one
+// can succeed without having written anything; so nothing is synced again in place. The
+// instance continues with another voter as leader until reopen has rewritten everything to
+// new files.
 func (g *group) fail(now time.Time, err error) {
 	eventStorageFailed.Log(g.core.log, event.Fields{"error": err, "folder": g.core.installed.folder.path})
 	g.failed = err
