--- a/consensus/errors.go
+++ b/consensus/errors.go
@@ -37,8 +37,8 @@
 // The reasons for which a leader rejects a call.
 const (
 	RefusedTooLarge     Refusal = "the proposal is larger than an entry may be"
-	RefusedBusy         Refusal = "too many entries are not committed yet"
-	RefusedTransfer     Refusal = "a leadership transfer is in progress"
+	RefusedBusy         Refusal = "too many entries wait to be committed"
+	RefusedTransfer     Refusal = "the leadership is being handed over"
 	RefusedTermStart    Refusal = "no entry of this term is committed yet"
 	RefusedPending      Refusal = "an earlier change of the configuration is not committed yet"
 	RefusedTooMany      Refusal = "a change may add or remove one voter only"
@@ -46,7 +46,7 @@
 	RefusedBehind       Refusal = "the learner does not hold every committed entry yet"
 	RefusedSelf         Refusal = "the leader cannot remove itself; transfer the leadership first"
 	RefusedUnsafe       Refusal = "the remaining voters would have no majority that is up to date and reachable"
-	RefusedNoTarget     Refusal = "the target is not a voter, or is the leader"
+	RefusedNoTarget     Refusal = "the target is no voter, or is the leader"
 	RefusedMalformed    Refusal = "the configuration is malformed"
 	RefusedNoSuchIndex  Refusal = "the index is not applied, or is behind the snapshot"
 	RefusedInconsistent Refusal = "the snapshot does not agree with the log"
--- a/consensus/raft.go
+++ b/consensus/raft.go
@@ -105,10 +105,10 @@
 	for _, e := range entries {
 		index++
 		if e.Index != index {
-			return errors.Newf("found entry %d where entry %d was expected", e.Index, index)
+			return errors.Newf("entry %d stands where %d belongs", e.Index, index)
 		}
 		if e.Term < term {
-			return errors.Newf("entry %d decreases the term from %d to %d", e.Index, term, e.Term)
+			return errors.Newf("entry %d goes back from term %d to %d", e.Index, term, e.Term)
 		}
 		term = e.Term
 	}
--- a/control/claimvoter.go
+++ b/control/claimvoter.go
@@ -197,7 +197,7 @@
 	}
 }
 
-var errVoterFailed = verdict.Refuse(verdict.ReasonStorageFailed, 0, "this voter can no longer store votes")
+var errVoterFailed = verdict.Refuse(verdict.ReasonStorageFailed, 0, "this voter can't keep votes any more")
 
 // fail rejects all further requests. A vote that could not be synced must not be given,
 // and none that was given may be lost.
--- a/control/delivery.go
+++ b/control/delivery.go
@@ -56,7 +56,7 @@
 }
 
 // errUndelivered is returned when no leader acknowledged the update before the deadline.
-var errUndelivered = verdict.Refuse(verdict.ReasonNoQuorum, time.Second, "no leader acknowledged the update in time")
+var errUndelivered = verdict.Refuse(verdict.ReasonNoQuorum, time.Second, "no leader took it in in time")
 
 // propagate returns when a leader has acknowledged everything that this instance knows at
 // the time of the call. Only then may the caller be answered: a leaving upstream relies on
--- a/control/evidence_batch.go
+++ b/control/evidence_batch.go
@@ -33,7 +33,7 @@
 	// stop at.
 	errOldVoters = verdict.Refuse(verdict.ReasonConflict, time.Second, "not every voter is upgraded")
 	// errBatchFull rejects evidence while too much is already queued.
-	errBatchFull = verdict.Refuse(verdict.ReasonQueueFull, time.Second, "too much evidence is queued")
+	errBatchFull = verdict.Refuse(verdict.ReasonQueueFull, time.Second, "too much evidence waits")
 )
 
 // proposeEvidence commits evidence in one entry with the evidence that other instances
--- a/control/operations.go
+++ b/control/operations.go
@@ -29,7 +29,7 @@
 var errNotLeader = verdict.Refuse(verdict.ReasonNotLeader, time.Second, "this instance does not lead the control group, and no leader is known")
 
 // errNotVoter rejects a request to a voter on an instance without a log.
-var errNotVoter = verdict.Refuse(verdict.ReasonNotFound, 0, "this instance is not a voter")
+var errNotVoter = verdict.Refuse(verdict.ReasonNotFound, 0, "this instance is no voter")
 
 func (n *Node) registerCommands() {
 	n.handlers[commandHello] = n.answerHello
--- a/control/proposals.go
+++ b/control/proposals.go
@@ -81,7 +81,7 @@
 // for one result.
 func (g *group) propose(now time.Time, command *state.Command, done chan<- proposalResult) {
 	if g.node == nil {
-		done <- proposalResult{err: verdict.Refuse(verdict.ReasonNotLeader, 0, "this voter does not take part in consensus")}
+		done <- proposalResult{err: verdict.Refuse(verdict.ReasonNotLeader, 0, "this voter does not take part")}
 		return
 	}
 	data, err := command.Encode()
--- a/control/service.go
+++ b/control/service.go
@@ -37,7 +37,7 @@
 	}
 	state, err := json.Marshal(response)
 	if err != nil {
-		return nil, rpc.ToTwirp(errors.Wrap(err, "encode a sync response"))
+		return nil, rpc.ToTwirp(errors.Wrap(err, "encode a sync"))
 	}
 	return &rpc.SyncResponse{State: state, Upstreams: response.upstreams}, nil
 }
--- a/control/voters.go
+++ b/control/voters.go
@@ -115,7 +115,7 @@
 				return nil, refused
 			}
 			return nil, verdict.New(verdict.MayHaveRun, verdict.ReasonTimeout,
-				"the replacement is not complete yet; send the command again to continue")
+				"the replacement goes on step by step; send the command again to continue")
 		}
 	}
 }
@@ -205,7 +205,7 @@
 // Either it has just restarted with an empty folder and has not synced yet, or its disk is
 // intact and it needs no replacement.
 var errSameFolder = verdict.Refuse(verdict.ReasonNotLeader, 0,
-	"the instance still has the data folder of the voter that it is to replace")
+	"the instance still has the data folder of the voter that it shall replace")
 
 // newMember finds the instance to be added as a voter.
 func (l *leader) newMember(request *ReplaceRequest) (consensus.Member, error) {
