--- a/ledger/account_shard.go
+++ b/ledger/account_shard.go
@@ -117,8 +117,9 @@
 }
 
 // minIdleFirstToken is the lower bound of the idle time to the first token that a
-// slowdown is measured against. Below it, network latency dominates, and a cached
-// prompt would count as slowed down on an idle fleet.
+// slowdown is measured against. Below it, network latency, including that of distant
+// callers, makes up most of the time, and a cached prompt would count as slowed down on
+// an idle fleet.
 const minIdleFirstToken = 25 * time.Millisecond
 
 func (t *trackedSeries) addObjectives(s Served, o settings.Objectives) {
--- a/ledger/bins.go
+++ b/ledger/bins.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Latencies are counted in bins with seven bits of mantissa, the resolution of an
-// HDR histogram with two significant digits (error below 1%). A dense histogram
-// takes 16 kB and would have to be copied in full, whereas only non-empty bins are
-// stored and only changed bins are copied. Reports load the bins into HDR
-// histograms.
+// Latencies are counted in bins with seven bits of mantissa after the leading one bit,
+// which mantissaBits includes. This is the resolution of an HDR histogram with two
+// significant digits (error below 1%). A dense histogram takes 16 kB and would have to be
+// copied in full, whereas only non-empty bins are stored and only changed bins are copied.
+// Reports load the bins into HDR histograms.
 const (
 	mantissaBits = 8
 	mantissaMask = 1<<mantissaBits - 1
--- a/ledger/position.go
+++ b/ledger/position.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// position identifies the last copy of one incarnation's account that a voter has
-// stored.
+// position is the sequence number up to which a voter has the account of one
+// incarnation.
 type position struct {
 	incarnation uint64
 	sequence    uint64
--- a/ledger/report.go
+++ b/ledger/report.go
@@ -28,8 +28,8 @@
 	// MissingVoters lists the voters that did not answer. The report lacks counters
 	// of ended instances that only these voters hold.
 	MissingVoters []string `json:"missing_books,omitempty"`
-	// DroppedUpTo is set in a report without Since from which old incarnations were
-	// dropped: the time at which the newest of them ended.
+	// DroppedUpTo is set only in a report without Since, if old incarnations were
+	// dropped from it. It is the time of the last copy of the newest of them.
 	DroppedUpTo time.Time `json:"dropped_up_to,omitzero"`
 }
 
--- a/ledger/report_build.go
+++ b/ledger/report_build.go
@@ -69,7 +69,8 @@
 
 // restrictToPeriod replaces the counts by those since the start of the report. The
 // number of requests in flight at the start follows from the equation of Report.
-// It returns the latencies, which are stored by the hour.
+// It returns the latencies of the period, which may start earlier than the counts
+// because latencies are stored only by the hour and by the day.
 func restrictToPeriod(in *ReportInput, totals tallies, report *Report) tallies {
 	growth, start := in.State.Windows.Since(in.Query.Since, in.Now)
 	latencies, latencyStart := in.State.Windows.LatenciesSince(in.Query.Since, in.Now)
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -37,7 +37,7 @@
 	Incarnations map[ID]*Incarnation
 	Windows      *Windows
 	Lumps        []Lump
-	DroppedUpTo  time.Time // last copy of the newest incarnation dropped because of its age; zero: none
+	DroppedUpTo  time.Time // time of the last copy of the newest incarnation that was dropped because of its age; zero: none
 }
 
 // NewState returns an empty state.
--- a/ledger/store.go
+++ b/ledger/store.go
@@ -19,7 +19,7 @@
 )
 
 // Store stores the accounts of all instances durably on a voter. It implements
-// Store and is safe for concurrent use.
+// CopyMerger and is safe for concurrent use.
 type Store struct {
 	log   logrus.FieldLogger
 	clock clock.Clock
--- a/ledger/trim.go
+++ b/ledger/trim.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// recordDropped records the time of the newest dropped incarnation, so that a report
-// without Since can state what it lacks.
+// recordDropped records the time of the last copy of the newest dropped incarnation, so
+// that a report without Since can state what it lacks.
 func (s *State) recordDropped(at time.Time) {
 	if at.After(s.DroppedUpTo) {
 		s.DroppedUpTo = at
--- a/ledger/window.go
+++ b/ledger/window.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// prune drops the oldest cell of a tier that exceeds its bound. Cells are dropped by
-// number rather than by age, so that a cell far in the future, caused by a wrong
-// clock, does not drop all others.
+// prune drops the oldest cell of a tier that has more than maxCells. It does not
+// compare the age of cells with that of the newest, because a cell far in the future,
+// caused by a wrong clock, would then drop all others.
 func (w *Windows) prune(i int, newest int64) {
 	if len(w.Cells[i]) <= tiers[i].maxCells {
 		return
