--- a/accounting/differential_test.go
+++ b/accounting/differential_test.go
@@ -20,11 +20,11 @@
 	executed bool   // by the upstream
 
 	copied    bool   // a voter has stored that the request was received
-	copiedEnd string // outcome that this voter has stored
+	copiedEnd string // outcome that a voter has stored
 }
 
-// journal records requests independently of the ledger, as callers and upstreams
-// would.
+// journal records requests independently of the ledger, as observed outside of the
+// fleet by callers and upstreams.
 type journal struct {
 	entries []*journalEntry
 }
--- a/accounting/merge_stores.go
+++ b/accounting/merge_stores.go
@@ -10,7 +10,7 @@
 
 // The intervals at which a voter merges the counters of the other voters.
 const (
-	mergeRetryInterval = 10 * time.Second // after an attempt that some voter did not answer
+	mergeRetryInterval = 10 * time.Second // after a merge that failed or lacked the answer of a voter
 	mergeInterval      = time.Hour
 )
 
