--- a/control/relay/sender.go
+++ b/control/relay/sender.go
@@ -26,7 +26,7 @@
 	lastRef   uint32
 	number    uint64
 	batches   []batch // oldest first
-	fullTable batch   // full table as of a batch; empty if it was not requested since
+	fullTable batch   // cached encoding of the full table as of a batch; empty before the first request
 }
 
 // tableEntry is the state of an upstream as of the last batch.
--- a/control/relay/sparse.go
+++ b/control/relay/sparse.go
@@ -6,7 +6,9 @@
 	"celeryport/rpc"
 )
 
-// sparse builds a column that holds only the values that differ from their default.
+// sparse builds a column that holds only the values that differ from their default. The
+// default is the previous value of the upstream or, for a sequence number, an increase by
+// defaultStep.
 type sparse struct {
 	column *rpc.Sparse
 	last   int
