--- a/control/attachment/choice.go
+++ b/control/attachment/choice.go
@@ -27,7 +27,7 @@
 	reviewedAt time.Time
 	probedAt   time.Time
 	probed     string // voter that was probed last while detached
-	failed     string // last voter that did not answer a sync
+	failed     string // last voter that did not answer a sync; empty once attached to it again
 }
 
 // Detached reports whether the voter of this instance has no contact with a leader.
@@ -40,7 +40,8 @@
 // RecordFailure records that a voter did not answer a sync.
 func (c *Choice) RecordFailure(voter string) { c.failed = voter }
 
-// LastFailed returns the last voter that did not answer a sync.
+// LastFailed returns the last voter that did not answer a sync, or an empty string if there
+// was none or the instance has since switched back to it.
 func (c *Choice) LastFailed() string { return c.failed }
 
 // RecordAttached records that the instance with the given name switched to voter. A hash of
--- a/control/attachment/roster.go
+++ b/control/attachment/roster.go
@@ -21,7 +21,7 @@
 	heardAt        time.Time
 	minIncarnation uint64 // higher incarnation of the name that a leader knows, 0 if none
 	acknowledged   bool   // a leader has acknowledged this incarnation
-	needsFull      bool   // the leader does not know it and needs a full report
+	needsFull      bool   // the leader may not know this incarnation and needs a full report
 }
 
 // Report is a voter's report to the leader about one attached instance.
@@ -37,8 +37,9 @@
 	return &Roster{retention: retention, entries: map[string]*entry{}}
 }
 
-// Record records an instance's report about itself. The result urgent is true if the leader
-// has to be informed at once, because the instance started or changed its state.
+// Record records an instance's report about itself. It rejects a report as stale if a higher
+// incarnation of the name is known. The result urgent is true if the leader has to be
+// informed at once, because the instance started or changed its state.
 func (r *Roster) Record(now time.Time, i membership.Instance) (verdict membership.Verdict, urgent bool) {
 	known := r.entries[i.Name]
 	if known != nil && i.Incarnation < max(known.instance.Incarnation, known.minIncarnation) {
