--- a/instance/forwarding_shutdown.go
+++ b/instance/forwarding_shutdown.go
@@ -17,7 +17,8 @@
 	// minDrain is the minimum duration of draining: callers may use a list of addresses
 	// for this long after they received it.
 	minDrain = directoryCacheTime + 300*time.Millisecond
-	// streamDuration and callDuration are enough for most streams and all other calls to
+	// New streams are accepted until streamDuration before the end of draining, other calls
+	// until callDuration before it. This is enough for most streams and all other calls to
 	// finish. Some callers use a list of addresses for longer than they may cache it; a
 	// stream that is accepted too late is cut off at the end of draining.
 	streamDuration = 4300 * time.Millisecond
--- a/instance/run.go
+++ b/instance/run.go
@@ -58,8 +58,8 @@
 }
 
 // runTraffic serves callers once the control group has confirmed this instance, because its
-// incarnation is not final before. Until then its port is closed, which shows callers that
-// nothing was run.
+// incarnation may change until then. Before that, its port is closed, which shows callers
+// that none of their requests was run.
 func runTraffic(ctx, stop, hardStop context.Context, options *Options, node *control.Node, parts *ledgerParts) error {
 	if !awaitLease(ctx, stop, node) {
 		return ctx.Err()
