--- a/burn/cause.go
+++ b/burn/cause.go
@@ -10,7 +10,8 @@
 // count against the error budget: an organisation that sends invalid requests must
 // not exhaust the budget of its class, and a limit that works as intended must not
 // raise an alert. Everything that the fleet failed to serve counts, including
-// refusals because of a full queue or an exceeded share.
+// refusals because of a full queue, or because the organisation exceeds its share while
+// the fleet is full.
 func isCallerFault(reason verdict.Reason) bool {
 	switch reason {
 	case verdict.ReasonBadRequest, verdict.ReasonUnauthorized, verdict.ReasonNotFound,
--- a/burn/compute.go
+++ b/burn/compute.go
@@ -143,8 +143,8 @@
 	return 0
 }
 
-// daysLeft returns how long the budget lasts at the current rate, or nil if it lasts
-// indefinitely. It assumes that requests keep arriving at the average rate of the
+// daysLeft returns the number of days that the budget lasts at the rate over rateWindow,
+// or nil if it lasts indefinitely. It assumes that requests keep arriving at the average rate of the
 // period.
 func daysLeft(o *Objective) *float64 {
 	rate := rateOf(o.Rates, rateWindow)
--- a/burn/table.go
+++ b/burn/table.go
@@ -27,8 +27,8 @@
 	BudgetLeft float64       `json:"budget_left"`
 	Rates      []Rate        `json:"rates"`
 	Alerts     []Alert       `json:"alerts,omitempty"`
-	// DaysLeft is the time that the budget lasts at the rate of the last six hours;
-	// nil: indefinitely.
+	// DaysLeft is the number of days that the budget lasts at the rate of the last six
+	// hours; nil: indefinitely.
 	DaysLeft      *float64 `json:"days_left"`
 	Burners       []Burner `json:"burners,omitempty"`        // in the last hour
 	PeriodBurners []Burner `json:"burners_period,omitempty"` // in the period
@@ -58,7 +58,7 @@
 	Organisation string  `json:"organisation"`
 	Cause        string  `json:"cause"`
 	Bad          uint64  `json:"bad"`
-	Share        float64 `json:"share"` // fraction of all requests that missed the objective
+	Share        float64 `json:"share"` // Bad as a fraction of all requests that missed the objective
 }
 
 // Point is the burn rate of one hour.
