--- a/metrics/copies.go
+++ b/metrics/copies.go
@@ -14,8 +14,8 @@
 	age func() time.Duration
 }
 
-// NewCopies returns a collector. The function age returns the time since the last
-// copy.
+// NewCopies returns a collector. The function age returns the time since a voter last
+// had all counters of this instance.
 func NewCopies(age func() time.Duration) *Copies { return &Copies{age: age} }
 
 // Describe implements prometheus.Collector.
--- a/metrics/metric.go
+++ b/metrics/metric.go
@@ -4,7 +4,7 @@
 
 const namespace = "celeryport"
 
-// The labels.
+// The names of the labels.
 const (
 	labelOrganisation = "organisation"
 	labelClass        = "class"
