--- a/ledger/apply_bench_test.go
+++ b/ledger/apply_bench_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// BenchmarkApply measures the CPU time for applying copies with 160 requests of one
-// instance each, without decoding and syncing.
+// BenchmarkApply measures the CPU time for applying copies that each hold 160 requests
+// of one instance, without decoding and syncing.
 func BenchmarkApply(b *testing.B) {
 	const organisations, requests = 260, 160
 	account := NewAccount(ID{"instance-1", 1}, testStart, discardLogger())
