--- a/settings/forwarding.go
+++ b/settings/forwarding.go
@@ -61,7 +61,7 @@
 type EngineProfile struct {
 	Slots           int           // requests that run concurrently
 	MemoryTokens    int           // tokens of KV memory
-	Stride          int           // decode steps per pass while requests are decoding
+	Stride          int           // decode steps of one engine pass if any request is decoding
 	Step            time.Duration // base duration of a decode step, which yields one token per decoding request
 	StepPerSequence time.Duration // added to Step per decoding request
 	StepPerContext  time.Duration // added to Step per 1,000 tokens of a decoding request's context
--- a/settings/forwarding_index.go
+++ b/settings/forwarding_index.go
@@ -41,7 +41,8 @@
 	f.setMinPauseLimits()
 }
 
-// setMinPauseLimits sets the MinPauseLimit of each engine service from the routes to it.
+// setMinPauseLimits sets the MinPauseLimit of each engine service to the shortest
+// PauseLimit of the routes to it.
 func (f *Forwarding) setMinPauseLimits() {
 	for i := range f.Routes {
 		route := &f.Routes[i]
--- a/settings/resolve.go
+++ b/settings/resolve.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// matchingRule returns the most specific matching rule, nil if none matches.
+// matchingRule returns the most specific matching rule, nil if none matches. Of
+// equally specific rules the last one wins.
 func (t *Tree) matchingRule(organisation, class string) *Rule {
 	var best *Rule
 	for i := range t.Rules {
@@ -71,7 +72,8 @@
 }
 
 // moreSpecific compares two rules that match the same request. Their selectors
-// are then prefixes of the same path, so the longer one is the deeper one.
+// are then prefixes of the same path, so the longer one is the deeper one. The
+// organisation selectors are compared first.
 func (r *Rule) moreSpecific(other *Rule) bool {
 	if len(r.Organisation) != len(other.Organisation) {
 		return len(r.Organisation) > len(other.Organisation)
--- a/settings/source.go
+++ b/settings/source.go
@@ -71,7 +71,8 @@
 }
 
 // readSections parses the INI text and reports syntax errors, raw quotes and
-// duplicate sections as faults. ok is false if the text is not an INI file.
+// duplicate sections as faults. Keys outside a section are returned as the section
+// ini.DefaultSection, which no schema knows. ok is false if the text is not an INI file.
 func readSections(content []byte, faults *collector) (sections []section, ok bool) {
 	checkRawQuotes(content, faults)
 	file, err := ini.LoadSources(loadOptions(), content)
--- a/settings/value.go
+++ b/settings/value.go
@@ -119,7 +119,8 @@
 	}
 }
 
-// optional wraps a value so that nil means not set.
+// optional accepts the same texts as v and yields a pointer, so that a key that is
+// not given (nil) can be told from one with a zero value.
 func optional[V any](v value[V]) value[*V] {
 	return value[*V]{
 		allowed: v.allowed,
