--- a/cli/losses.go
+++ b/cli/losses.go
@@ -18,7 +18,8 @@
 const (
 	// flagLossesJSON selects JSON output.
 	flagLossesJSON = "json"
-	// flagLossesDocument is the platform's settings document, which holds the performance model of the engines.
+	// flagLossesDocument is the path of the platform's settings document, which holds
+	// the performance model of the engines.
 	flagLossesDocument = "document"
 )
 
@@ -52,7 +53,9 @@
 	}
 }
 
-// printReach prints, for each route with prompts, the rate of answers in time and the achievable rate.
+// printReach prints, for each route with prompts, the fraction of the value that was
+// served in time and the achievable fraction. It uses the performance model of the
+// first engine service of the document.
 func printReach(out io.Writer, lines []explain.Line, file string, asJSON bool) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/cli/reload.go
+++ b/cli/reload.go
@@ -27,7 +27,8 @@
 const reloadInterval = time.Second
 
 // watchSettings sends the process settings after each change of the file, until
-// ctx ends. SIGHUP triggers an immediate check.
+// ctx ends. SIGHUP triggers an immediate check. A file with a fault is logged and not
+// sent.
 func watchSettings(ctx context.Context, path string, log logrus.FieldLogger) <-chan *settings.Process {
 	changes := make(chan *settings.Process)
 	hangUp := make(chan os.Signal, 1)
--- a/cli/reload_test.go
+++ b/cli/reload_test.go
@@ -28,7 +28,7 @@
 func TestSIGHUPReloadsSettings(t *testing.T) {
 	// All control group addresses that an instance knows have been replaced. Guards
 	// against a SIGHUP that ends the process, or that is ignored, so that the instance
-	// keeps connecting to dead addresses.
+	// keeps connecting to the previous addresses.
 	path := filepath.Join(t.TempDir(), "process.ini")
 	write := func(voter string) {
 		if err := os.WriteFile(path, []byte(reloadedSettings+voter+"\n"), 0o600); err != nil {
--- a/cli/replace_process_test.go
+++ b/cli/replace_process_test.go
@@ -23,7 +23,7 @@
 
 func TestLostDiskIsReplacedByOneCommand(t *testing.T) {
 	// A voter loses its disk and is replaced with "voter replace", as documented for
-	// operators; then another voter dies. Accepted settings must survive, and new ones
+	// operators; then another voter is killed. Accepted settings must survive, and new ones
 	// must be accepted.
 	t.Parallel()
 	f := startProcessFleet(t, 3, 0)
--- a/cli/run.go
+++ b/cli/run.go
@@ -14,7 +14,7 @@
 // Exit codes of all commands.
 const (
 	ExitDone     = 0
-	ExitFailed   = 1 // failed without any effect
+	ExitFailed   = 1 // failed; an operator's command had no effect
 	ExitUsage    = 2 // invalid usage or settings
 	ExitConflict = 3 // another operator's order was applied first
 	ExitUnknown  = 4 // the outcome is unknown
--- a/cli/settings_apply.go
+++ b/cli/settings_apply.go
@@ -130,7 +130,8 @@
 	}
 }
 
-// awaitInForce waits until the revision or a newer one is in force everywhere, and reports whether it is.
+// awaitInForce waits for at most a.wait until the revision or a newer one is in force
+// everywhere, and reports whether it is.
 func (a *applier) awaitInForce(ctx context.Context, revision uint64) bool {
 	ctx, cancel := context.WithTimeout(ctx, a.wait)
 	defer cancel()
--- a/cli/traffic_process_test.go
+++ b/cli/traffic_process_test.go
@@ -28,7 +28,7 @@
 	retriedKeys   = 50
 	callersPerKey = 4 // concurrent callers per key
 	maxTries      = 12
-	keepSeconds   = 1 // seconds
+	keepSeconds   = 1
 	processModel  = "sarto"
 	processTree   = `[organisation]
 [organisation.bottega]
