--- a/standin/enginemodel/config.go
+++ b/standin/enginemodel/config.go
@@ -15,7 +15,7 @@
 	MemoryTokens      int           // KV memory in tokens
 	CacheTokens       int           // maximum memory of the prefix cache, which uses only otherwise unused memory
 	CacheLag          time.Duration // delay of the publication of cache events
-	CacheLossOneIn    int           // one of this number of cache events is lost; 0: none
+	CacheLossOneIn    int           // one in this many cache events is lost; 0: none
 	LoadLag           time.Duration // age of the load reports
 	FirstAndLastOnly  bool          // emit only the first Token event and Finished, so that series of equal iterations can be skipped
 	ReservationsLimit int           // maximum number of simultaneous reservations and exports
--- a/standin/enginemodel/engine.go
+++ b/standin/enginemodel/engine.go
@@ -85,8 +85,8 @@
 	return found
 }
 
-// CancelOwner aborts all jobs and releases all reservations and exports of the owner, and returns
-// their number.
+// CancelOwner aborts all jobs and releases all reservations and exports of the owner,
+// and returns their number.
 func (e *Engine) CancelOwner(now time.Time, owner string) int {
 	e.advanceTo(now)
 	count := e.reserved.remove(func(r *reservation) bool { return r.owner == owner })
@@ -176,8 +176,8 @@
 	return e.cache.lookup(hash) >= tokens
 }
 
-// advanceTo brings the state to the time now. Every exported method that takes the time calls it
-// first.
+// advanceTo brings the state to the time now. Every exported method that takes the
+// time calls it first.
 func (e *Engine) advanceTo(now time.Time) {
 	if e.eventsReturned {
 		e.events = e.events[:0]
--- a/standin/enginemodel/job.go
+++ b/standin/enginemodel/job.go
@@ -37,10 +37,10 @@
 	submitted      int64
 	index          int  // position in the waiting heap, or notWaiting once the task runs
 	prefillStarted bool // the prefill has started
-	prefillLeft    int  // prompt tokens still to prefill
+	prefillLeft    int  // tokens still to prefill, of the prompt and of the answer before Offset
 	share          int  // prompt tokens to prefill in each step of the current phase
 	cached         int  // prompt tokens taken from the prefix cache
-	generated      int  // answer tokens generated so far
+	generated      int  // answer tokens available so far, including those before Offset
 }
 
 // notWaiting is the index of a running task.
@@ -54,7 +54,8 @@
 	return t.sequence < other.sequence
 }
 
-// prefillSeconds returns the time for the prefill of the given number of tokens of the prompt.
+// prefillSeconds returns the time for the prefill of the given number of tokens, at
+// rate tokens per second on one engine.
 func (t *task) prefillSeconds(tokens int, rate float64) float64 {
 	if t.SpanSpeedup > 0 {
 		rate *= t.SpanSpeedup
--- a/standin/enginemodel/load.go
+++ b/standin/enginemodel/load.go
@@ -46,7 +46,8 @@
 	}
 	seconds := time.Duration(p.step).Seconds()
 	weight := 1 - math.Pow(1-rateWeight, float64(steps))
-	// With small shares the fixed duration of an iteration dominates, not the prefill.
+	// Steps with small shares are not measured: the fixed duration of an iteration
+	// dominates them, not the prefill.
 	if p.shares > l.chunk/2 {
 		l.prefillRate += weight * (float64(p.shares)/seconds - l.prefillRate)
 	}
--- a/standin/enginemodel/phase.go
+++ b/standin/enginemodel/phase.go
@@ -36,8 +36,8 @@
 	e.reserved.expire(now)
 }
 
-// resumeAfterExpiry starts an idle engine if the expiry of a reservation allows a waiting task to
-// start.
+// resumeAfterExpiry starts an idle engine if the expiry of a reservation by the time
+// now allows a waiting task to start, and reports whether it did.
 func (e *Engine) resumeAfterExpiry(now int64) bool {
 	until, found := e.reserved.earliest()
 	if len(e.waiting) == 0 || !found || until > now {
@@ -86,8 +86,8 @@
 	return e.config.Chunk - budget, seconds
 }
 
-// beginPrefill starts the prefill of a task and skips the part of the prompt that is in the prefix
-// cache.
+// beginPrefill starts the prefill of a task and skips the part of the prompt that is
+// in the prefix cache.
 func (e *Engine) beginPrefill(t *task) {
 	if t.prefillStarted {
 		return
@@ -97,7 +97,8 @@
 	t.prefillLeft -= t.cached
 }
 
-// equalSteps returns the number of iterations until the batch changes.
+// equalSteps returns the number of iterations until the batch can change or an event
+// is emitted.
 func (e *Engine) equalSteps() int {
 	if !e.config.FirstAndLastOnly && len(e.decoding) > 0 {
 		return 1
@@ -168,8 +169,8 @@
 	e.emitFirst()
 }
 
-// emitDecoded emits the tokens of the first count decoding tasks, which decoded in the last step, and
-// releases the finished ones.
+// emitDecoded emits the tokens of the first count decoding tasks, which decoded in the
+// last step, and releases the finished ones.
 func (e *Engine) emitDecoded(count int) {
 	kept := e.decoding[:0]
 	for _, t := range e.decoding[:count] {
--- a/standin/enginemodel/reservation.go
+++ b/standin/enginemodel/reservation.go
@@ -10,8 +10,8 @@
 	until  int64 // expiry of the lease
 }
 
-// reservations holds the reservations in order of creation. There are few of them, so a linear search
-// is sufficient.
+// reservations holds the reservations in order of creation. There are few of them, so
+// a linear search is sufficient.
 type reservations struct {
 	list   []reservation
 	tokens int
