--- a/standin/announcer.go
+++ b/standin/announcer.go
@@ -130,7 +130,8 @@
 	}
 }
 
-// recordResult records the outcome of one announcement.
+// recordResult records the outcome of one announcement, adds the further instances
+// that the answer named, and removes a learned instance after maxFailures.
 func (a *announcer) recordResult(address string, further []string, err error) {
 	if err != nil {
 		eventAnnounceFailed.Log(a.log, logrus.Fields{"address": address, "error": err.Error()})
@@ -170,8 +171,8 @@
 	return answer.Addresses, nil
 }
 
-// exchangeJSON makes one call on a new connection and decodes its JSON answer, which is limited to
-// maxSmallAnswer bytes.
+// exchangeJSON makes one call on a new connection and decodes its JSON answer, which
+// is limited to maxSmallAnswer bytes.
 func exchangeJSON(ctx context.Context, dial Dialer, address string, request *fasthttp.Request, timeout time.Duration, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/standin/control_handlers.go
+++ b/standin/control_handlers.go
@@ -11,7 +11,8 @@
 	"celeryport/upstream/wire"
 )
 
-// serveCancel cancels one request, or all requests of an owner.
+// serveCancel cancels one request or all requests of an owner, and releases their
+// reservations and exports.
 func (e *Engine) serveCancel(ctx *fasthttp.RequestCtx) {
 	var r wire.CancelRequest
 	if !decode(ctx, &r) {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -42,7 +42,8 @@
 // aborted.
 func (e *Engine) Shutdown(ctx context.Context) error { return e.shutdown(ctx, e.scheduler.busy) }
 
-// Close stops the engine immediately, like a killed process.
+// Close stops the engine immediately, like a killed process, except that the journal
+// still records the end of the running requests (EndedStopped).
 func (e *Engine) Close() { e.close() }
 
 // Name returns the announced name.
@@ -93,7 +94,8 @@
 	}
 }
 
-// journalStream writes the beginning or the end of a stream to the journal.
+// journalStream writes the beginning or the end of a stream to the journal, and logs
+// an early end.
 func (e *Engine) journalStream(s *stream, how Ending) {
 	if how != EndedWhole && how != Begun {
 		eventCancelled.Log(e.options.Log, logrus.Fields{"request": s.request, "attempt": s.attempt, "ended": how})
--- a/standin/executions.go
+++ b/standin/executions.go
@@ -29,8 +29,8 @@
 // NewExecutions returns an empty count.
 func NewExecutions() *Executions { return &Executions{byKey: map[string]*Execution{}} }
 
-// Read adds the entries of one journal. The last line may be truncated, as a killed process can
-// leave it.
+// Read adds the entries of one journal. The last line may be truncated, as a killed
+// process can leave it.
 func (x *Executions) Read(journal io.Reader) error {
 	lines := bufio.NewScanner(journal)
 	lines.Buffer(nil, maxEntry)
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -20,7 +20,8 @@
 }
 
 // Set enables a fault. Several faults may be enabled at a time; each request is
-// subject to the one that was enabled first.
+// subject to the one that was enabled first. FaultFreeze takes effect immediately and
+// applies in addition to the others.
 func (f *Faults) Set(s FaultSwitch) error {
 	if !s.Fault.known() {
 		return ErrUnknownFault
@@ -66,7 +67,8 @@
 	}
 }
 
-// take returns the fault for the next request and counts it as used. The zero value means no fault.
+// take returns the fault for the next request and counts it as used. The zero value
+// means no fault.
 func (f *Faults) take() FaultSwitch {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/standin/generate.go
+++ b/standin/generate.go
@@ -39,8 +39,8 @@
 	e.run(ctx, &c, &body, fault.Fault)
 }
 
-// refusalReason returns why the request must be refused before it is submitted. The reason is empty
-// if there is none.
+// refusalReason returns why the request must be refused before it is submitted. The
+// reason is empty if there is none.
 func (e *Engine) refusalReason(c *call, body *wire.GenerateRequest) (status int, reason string) {
 	switch {
 	case body.Prompt == "" || body.MaxTokens <= 0 || body.MaxTokens > maxAnswerTokens || c.offset > body.MaxTokens:
--- a/standin/host.go
+++ b/standin/host.go
@@ -194,9 +194,9 @@
 	return found && subtle.ConstantTimeCompare([]byte(given), []byte(h.options.Key)) == 1
 }
 
-// matchesIncarnation reports whether the call is addressed to this incarnation. A call that was
-// routed to a terminated process must not run on its successor, because instances
-// already count the work of the old process as lost.
+// matchesIncarnation reports whether the call names this incarnation or none. A call
+// that was routed to a terminated process must not run on its successor, because
+// instances already count the work of the old process as lost.
 func (h *host) matchesIncarnation(ctx *fasthttp.RequestCtx) bool {
 	given := string(ctx.Request.Header.Peek(wire.HeaderIncarnation))
 	return given == "" || given == strconv.FormatUint(h.options.Incarnation, 10)
--- a/standin/journal.go
+++ b/standin/journal.go
@@ -14,12 +14,12 @@
 
 // The values of Ending in a journal.
 const (
-	Begun          Ending = "begun"     // the execution started; if no other entry follows, the process was killed
-	EndedWhole     Ending = "whole"     // the final frame or the complete answer was sent
+	Begun          Ending = "begun"     // the execution started; if no other entry follows, the process crashed or was killed
+	EndedWhole     Ending = "whole"     // an engine sent the final frame, or a service executed the call
 	EndedCancelled Ending = "cancelled" // it was cancelled
 	EndedDeadline  Ending = "deadline"  // its deadline passed
 	EndedUnread    Ending = "unread"    // its reader disconnected and did not resume in time
-	EndedSpanLost  Ending = "span-lost" // the reservation of a part of its span was lost
+	EndedSpanLost  Ending = "span-lost" // a part of its span was lost
 	EndedStopped   Ending = "stopped"   // the stand-in stopped
 	EndedRefused   Ending = "refused"   // it was not executed
 )
--- a/standin/orders.go
+++ b/standin/orders.go
@@ -45,9 +45,10 @@
 	return state
 }
 
-// execute executes an order. An engine that checks fencing numbers rejects orders
-// with lower numbers and executes a repeated order only once. An engine that does
-// not check them executes every order each time it arrives.
+// execute executes an order. An engine that checks fencing numbers rejects an order
+// whose number is lower than that of an earlier order, and executes a repeated order
+// only once. An engine that does not check them executes every order each time it
+// arrives.
 func (o *orders) execute(order *wire.Order, incarnation uint64) wire.OrderResponse {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/standin/respond.go
+++ b/standin/respond.go
@@ -15,7 +15,8 @@
 	Error string `json:"error"`
 }
 
-// refuse answers with an error and the refusal header, which states that the call was not executed.
+// refuse answers with an error and the refusal header, which states that the call was
+// not executed.
 func refuse(ctx *fasthttp.RequestCtx, status int, reason string) {
 	ctx.Response.Header.Set(wire.HeaderRefused, reason)
 	fail(ctx, status, reason)
--- a/standin/scheduler.go
+++ b/standin/scheduler.go
@@ -89,7 +89,8 @@
 	}
 	current.attempt = requested.attempt
 	current.owner = requested.owner
-	// The cleanup of a dead owner's work must not cancel a stream that another owner has taken over.
+	// The cleanup of a crashed owner's work must not cancel a stream that another owner
+	// has taken over.
 	s.model.Adopt(s.scale.model(now), current.job, requested.owner)
 	current.deadline = requested.deadline
 	current.reader++
@@ -141,7 +142,8 @@
 	}
 }
 
-// cancel cancels the work that the request names and returns the number of cancelled requests.
+// cancel ends the work that r names, including reservations and exports, and returns
+// how many items it ended.
 func (s *scheduler) cancel(now time.Time, r *wire.CancelRequest) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/scheduler_run.go
+++ b/standin/scheduler_run.go
@@ -60,9 +60,9 @@
 }
 
 // expire ends the streams that have had no reader for the resume window or whose
-// deadline has passed, and returns the time until the next stream is due. A
-// terminated instance never cancels its work, so without this the memory of that
-// work would stay in use.
+// deadline has passed, and returns the time until the next stream is due. An instance
+// that crashed never cancels its work, so without this the memory of that work would
+// stay in use.
 func (s *scheduler) expire(now time.Time) time.Duration {
 	next := idlePause
 	at := s.scale.model(now)
@@ -81,7 +81,8 @@
 	return next
 }
 
-// due returns when the stream has to be ended, and for which reason. The zero time means never.
+// due returns when the stream has to be ended, and for which reason. The zero time
+// means never.
 func (st *stream) due(window time.Duration) (time.Time, Ending) {
 	due, how := st.deadline, EndedDeadline
 	if st.unreadSince.IsZero() {
--- a/standin/span.go
+++ b/standin/span.go
@@ -58,7 +58,7 @@
 }
 
 // watchSpan ends the stream when a part of its span is lost. If the engine of a part
-// crashes or its reservation expires, part of the prompt's KV memory is gone.
+// crashes or its reservation expires, part of the prompt's KV cache is lost.
 func (e *Engine) watchSpan(st *stream, job string, parts []wire.Span) {
 	ticker := time.NewTicker(spanCheckInterval)
 	defer ticker.Stop()
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -18,7 +18,7 @@
 	maxTokens    int
 	deadline     time.Time // zero: none
 
-	ready     int // number of answer tokens generated so far
+	ready     int // number of answer tokens available, counted from offset 0
 	cached    int
 	finished  bool   // all tokens are generated and the memory is free
 	delivered bool   // the final frame was sent to a reader
@@ -35,7 +35,7 @@
 	s.changed = make(chan struct{})
 }
 
-// text returns the answer tokens from..to (exclusive).
+// text returns the answer tokens with offsets in [from, to).
 func (s *stream) text(from, to int) []byte {
 	return answer.Append(nil, s.hash, from, to)
 }
--- a/standin/user_timeout.go
+++ b/standin/user_timeout.go
@@ -11,10 +11,11 @@
 // between the two ends can drop the state of a connection. Writes then still succeed
 // into the kernel's buffer for many minutes, while the work of the disconnected
 // reader keeps its memory. After the time-out the kernel fails the connection, and
-// the next write returns an error.
+// the next write, at the latest the next heartbeat, returns an error.
 const userTimeout = 5 * time.Second
 
-// limitUnacknowledged sets the time-out on a TCP connection and ignores other kinds of connection.
+// limitUnacknowledged sets the time-out on a TCP connection and ignores other kinds
+// of connection.
 func limitUnacknowledged(conn net.Conn) error {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
