--- a/losses/call.go
+++ b/losses/call.go
@@ -85,7 +85,9 @@
 	return latenessCause(l, age)
 }
 
-// latenessCause compares an answer with its objectives, which start at the caller's first attempt.
+// latenessCause returns the cause for a call that was answered: UpstreamFault after an
+// error status, otherwise the objective that it missed. The time to the first event
+// counts from the caller's first attempt, which was age before this one.
 func latenessCause(l *explain.Line, age time.Duration) Cause {
 	if status := numberOf(l, "status"); status >= 300 {
 		return UpstreamFault
--- a/losses/cause.go
+++ b/losses/cause.go
@@ -10,11 +10,11 @@
 	RefusedAgain   Cause = "refused again"   // rejected again after a retry
 	NoUpstream     Cause = "no upstream"     // no upstream was available
 	NoHelper       Cause = "no helper"       // engines rejected it because no helper engine was available
-	UpstreamFault  Cause = "upstream failed" // its upstream failed, and no other could take over
+	UpstreamFault  Cause = "upstream failed" // its upstream failed and no other could take over, or the answer had a status of 300 or above
 	Interrupted    Cause = "cut"             // the answer was interrupted
-	CallerLeft     Cause = "caller left"     // before the answer was complete
+	CallerLeft     Cause = "caller left"     // the caller disconnected before the answer was complete
 	FirstEventLate Cause = "first late"      // the first event came too late
-	PauseTooLong   Cause = "pause too long"  // the pause between two events was too long
+	PauseTooLong   Cause = "pause too long"  // a pause between two events was too long
 	RetryLate      Cause = "returned late"   // the first event of a retried call came too late
 )
 
--- a/losses/moment.go
+++ b/losses/moment.go
@@ -31,13 +31,13 @@
 	eventSuspected   = 7007
 	eventMisdirected = 7008
 	restartWindow    = 2 * time.Second // an instance is down before its restart is logged, and others may still be restarting after it
-	engineWindow     = 2 * time.Second // period in which calls of the upstream are affected
+	engineWindow     = 2 * time.Second // time before and after the event in which calls of the upstream are affected
 	mixChangeWindow  = 4 * time.Second // time in which streams of the previous mix end
-	mixChangeFactor  = 2.5             // ratio between the work of long prompts of two spans
-	burstFactor      = 1.4             // ratio to the median work of a span
+	mixChangeFactor  = 2.5             // minimum ratio between the work of long prompts in two spans
+	burstFactor      = 1.4             // minimum ratio to the median work of a span
 	workSpan         = 2 * time.Second // interval over which work is summed
 	longPrompt       = 16_000          // minimum tokens of a long prompt
-	massRestartShare = 0.5             // share of the instances that restart at the same time
+	massRestartShare = 0.5             // minimum share of the instances that restart within restartWindow
 	minMixChange     = 0.1             // share of the median work; smaller changes of the mix are noise
 )
 
@@ -47,7 +47,7 @@
 	restarts  []time.Time // restarts of instances
 	instances int
 	engines   []time.Time
-	work      []float64 // value per workSpan
+	work      []float64 // value of the calls that arrived in each workSpan
 	long      []float64 // part of work that is due to long prompts
 	median    float64
 }
@@ -113,7 +113,8 @@
 	return Calm
 }
 
-// mixChanged reports whether the work of long prompts changed a lot within mixChangeWindow before now.
+// mixChanged reports whether the work of long prompts changed by more than
+// mixChangeFactor within mixChangeWindow before now.
 func (t *timeline) mixChanged(now time.Time) bool {
 	at := int(now.Sub(t.begin) / workSpan)
 	for before := max(0, at-int(mixChangeWindow/workSpan)); before < at; before++ {
--- a/losses/reach.go
+++ b/losses/reach.go
@@ -84,8 +84,9 @@
 	return placement.PrefillTime(p, int(c.prompt)).Seconds() + c.events*float64(max(1, p.Stride))*step
 }
 
-// engineTimePerSlot returns the engine time in each slot, from the maximum number of engines seen
-// by the calls of the slot. A slot without calls has the value of the previous slot.
+// engineTimePerSlot returns the engine time available in each reachSlot, from the
+// maximum number of engines seen by the calls that arrived in it. A slot without calls
+// has the value of the previous slot.
 func engineTimePerSlot(calls []call, begin time.Time) []float64 {
 	var seen []float64
 	for i := range calls {
--- a/losses/table.go
+++ b/losses/table.go
@@ -16,7 +16,7 @@
 	ByMoment map[Moment]float64 `json:"by_moment"`
 }
 
-// RouteDemand is the demand on one route.
+// RouteDemand is the demand on one route and the fraction of its value that was lost.
 type RouteDemand struct {
 	Route    string             `json:"route"`
 	Calls    int                `json:"calls"`
