--- a/explain/line.go
+++ b/explain/line.go
@@ -21,7 +21,7 @@
 	Fields   map[string]any
 }
 
-// maxLine is the maximum length of a line in bytes.
+// maxLine is the maximum length of a line in bytes; Read fails at a longer one.
 const maxLine = 1 << 20
 
 // Read parses log lines. Text before the JSON object of a line, such as the prefix of
--- a/explain/story.go
+++ b/explain/story.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// Numbers of the events that a story consists of.
+// Numbers of the events that a story consists of. The meaning of a number never
+// changes.
 const (
 	eventRefused     = 7002
 	eventServed      = 7003
