--- a/examples/demo/run.sh
+++ b/examples/demo/run.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# Runs a small fleet on loopback: five entry instances in three availability
-# zones, three of them voters, four stand-in engines and a plain service. Applies
-# a settings tree, sends a mix of prompts, kills an instance and an engine in the
-# middle, prints the reports and stops everything gracefully.
+# Runs a small fleet on loopback: five entry instances in three availability zones,
+# three of them voters, four simulated engines and a simulated plain service. Applies
+# a settings tree, sends a mix of prompts, kills an instance and an engine under load,
+# prints the reports and stops all processes gracefully.
 set -eu
 
 here=$(cd "$(dirname "$0")" && pwd)
@@ -11,7 +11,7 @@
 work=$(mktemp -d)
 running=""
 
-# stop_all ends what is still running, whatever made the script end.
+# stop_all kills the processes that are still running, however the script exits.
 stop_all() {
 	for pid in $running; do
 		kill -KILL "$pid" 2>/dev/null || true
@@ -35,7 +35,7 @@
 
 pid_of() { cat "$work/$1.pid"; }
 
-# forget NAME takes a process out of the list of running ones.
+# forget NAME removes a process from the list of running processes.
 forget() {
 	kept=""
 	for pid in $running; do
@@ -44,7 +44,8 @@
 	running=$kept
 }
 
-# wait_for SECONDS COMMAND... runs the command until it succeeds.
+# wait_for SECONDS COMMAND... repeats the command until it succeeds, and exits with
+# an error if it does not succeed in time.
 wait_for() {
 	tries=$(($1 * 5))
 	shift
@@ -125,7 +126,7 @@
 say "starting 4 engines and 1 plain service"
 announce="--announce $(traffic_of ortigia-1) --announce $(traffic_of borgata-2)"
 for e in 1 2 3 4; do
-	# shellcheck disable=SC2086 # the addresses hold no blanks
+	# shellcheck disable=SC2086 # the addresses contain no spaces
 	start "engine-$e" standin engine --name "engine-$e" --availability-zone sala-ortigia \
 		--model modello-sarto --time-scale 20 --address-file "$work/engine-$e.address" --journal "$work/engine-$e.journal" \
 		--upstream-key-file "$aretusa/keys/upstream.key" --engine-key-file "$aretusa/keys/engine.key" $announce
