--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# Every tool is pinned here or in go.mod; nothing is taken from the machine but
-# Go, make and a POSIX shell.
+# All tools are pinned here or in go.mod. The machine has to provide only Go, make and
+# a POSIX shell.
 LINT_VERSION := v2.15.0
 TOOLS := $(CURDIR)/.tools
 LINT := $(TOOLS)/golangci-lint-$(LINT_VERSION)
@@ -29,7 +29,8 @@
 demo: build
 	sh ./examples/demo/run.sh
 
-# SEEDS is a list of numbers, MINUTES how long each of them runs.
+# SEEDS is a comma-separated list of random seeds for the soak test, MINUTES the
+# duration of the run with each seed.
 SEEDS ?= 1,2,3
 MINUTES ?= 2
 
@@ -39,8 +40,8 @@
 bench: build
 	bin/celeryport bench
 
-# The generated code is committed; this is only needed after a change of the
-# .proto file, and needs protoc (Debian: protobuf-compiler).
+# Regenerates the code in rpc. The generated code is committed, so this is required only
+# after a change to the .proto file. It needs protoc (Debian: protobuf-compiler).
 generate:
 	mkdir -p $(TOOLS)
 	cd tools/protogo && go build -o $(TOOLS)/protoc-gen-go google.golang.org/protobuf/cmd/protoc-gen-go
