--- a/cli/serve.go
+++ b/cli/serve.go
@@ -18,7 +18,8 @@
 
 const flagSettings = "settings"
 
-// settingsVariable is the environment variable with the path of the process settings, used if the flag is not given.
+// settingsVariable is the environment variable with the path of the process settings, used if
+// the flag is not given.
 const settingsVariable = "CELERYPORT_NODE_FILE"
 
 // serveCommand runs an instance.
--- a/control/options.go
+++ b/control/options.go
@@ -43,12 +43,16 @@
 	Call       time.Duration // timeout of one call between instances; greater than Sync
 	Search     time.Duration // timeout of asking all voters at once which of them leads
 	Stagger    time.Duration // time after which an instance without settings asks an additional voter
-	Probe      time.Duration // pause before an instance without settings retries a voter, and the initial timeout of a connection, doubled with each attempt
-	Fresh      time.Duration // time after the last announcement at which an upstream counts as silent, unless the settings specify it
-	Retry      time.Duration // pause after a failed sync
-	Contact    time.Duration // time after the last successful sync at which a voter counts as out of contact with the leader; greater than Sync
-	Leave      time.Duration // timeout of notifying the leader when this instance stops
-	Compact    uint64        // number of applied entries between two snapshots of the log
+	// Probe is the pause before an instance without settings retries a voter, and the initial
+	// timeout of a connection, doubled with each attempt.
+	Probe time.Duration
+	Fresh time.Duration // time after the last announcement at which an upstream counts as silent, unless the settings specify it
+	Retry time.Duration // pause after a failed sync
+	// Contact is the time after the last successful sync at which a voter counts as out of contact
+	// with the leader; greater than Sync.
+	Contact time.Duration
+	Leave   time.Duration // timeout of notifying the leader when this instance stops
+	Compact uint64        // number of applied entries between two snapshots of the log
 }
 
 // DefaultTiming returns the intervals for production. A change is in force within
--- a/dispatch/pump.go
+++ b/dispatch/pump.go
@@ -165,9 +165,9 @@
 }
 
 // enginePriority returns the priority on the engine: length first, then class.
-// An aged long prompt ranks like a short one. Any other long prompt yields to any short one at the next iteration, whatever their
-// classes: this costs it milliseconds, while waiting would cost the short one
-// seconds.
+// An aged long prompt ranks like a short one. Any other long prompt yields to any short one at
+// the next iteration, whatever their classes: this costs it milliseconds, while waiting would
+// cost the short one seconds.
 func enginePriority(now time.Time, r *request.Request) int {
 	switch {
 	case aged(now, r):
--- a/forward/aggregate.go
+++ b/forward/aggregate.go
@@ -77,7 +77,8 @@
 
 // aggregatorOf returns the name of the instance that aggregates a zone: the one with the highest
 // hash of its name among self and the instances whose addresses are in recent, so that all
-// instances of the zone choose the same one. When the aggregator dies, the next instance notices the missing reports before control does.
+// instances of the zone choose the same one. When the aggregator dies, the next instance notices
+// the missing reports before control does.
 func aggregatorOf(instances []membership.Instance, self, zone string, recent map[netip.AddrPort]bool) string {
 	var live []string
 	for i := range instances {
